--- a/benches/recording.rs
+++ b/benches/recording.rs
@@ -17,13 +17,13 @@
 /// A call to exchange 1: set-up, news of the group, answer, release, news again.
 fn call(desk: &mut Desk, number: u64, mut keep: impl FnMut(Effect)) {
     desk.now += Duration::from_millis(16);
-    let conn = desk.way(1);
+    let exchange_conn = desk.way(1);
     desk.call(number, 1, 2_000);
-    desk.put(Input::GroupState { conn, report: vec![(number % 50) as f64 + 10.0, 100.0] });
+    desk.put(Input::GroupState { exchange_conn, report: vec![(number % 50) as f64 + 10.0, 100.0] });
     desk.now += Duration::from_millis(40);
     desk.answer(number, 1);
-    desk.put(Input::HangUp { link: LINK, call: name(number), cause: 16 });
-    desk.put(Input::GroupState { conn, report: vec![(number % 50) as f64 + 11.0, 100.0] });
+    desk.put(Input::HangUp { caller_conn: LINK, call: name(number), cause: 16 });
+    desk.put(Input::GroupState { exchange_conn, report: vec![(number % 50) as f64 + 11.0, 100.0] });
     desk.forget_setups();
     desk.seen.drain(..).for_each(&mut keep);
 }
--- a/crates/console/src/replay.rs
+++ b/crates/console/src/replay.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use swiftlb_record::merge::{Merge, Told, What};
-use swiftlb_record::{Archive, Event, Listing, WayChange};
+use swiftlb_record::{Archive, ConnectionChange, Event, ListedReadiness};
 
 use crate::model::{Model, Seen, Snapshot};
 
@@ -39,7 +39,9 @@
         if let Some(exchange) = event.exchange()
             && matches!(
                 event,
-                Event::Answer { .. } | Event::Group { .. } | Event::Way { change: WayChange::Up, .. }
+                Event::Answered { .. }
+                    | Event::Group { .. }
+                    | Event::ExchangeConnection { change: ConnectionChange::Up, .. }
             )
         {
             self.heard_us.insert(exchange, at);
@@ -51,50 +53,50 @@
                 (self.snapshot.softswitch, self.snapshot.home) = (softswitch, home);
             }
             Event::Stopped => self.runs = false,
-            Event::Exchange { exchange, name, listing, .. } => {
+            Event::Exchange { exchange, name, readiness, .. } => {
                 let own = self.snapshot.home == Some(*exchange);
                 let seen = self.seen(*exchange);
                 name.clone_into(&mut seen.name);
-                let word = match listing {
-                    Listing::Ready => "ready",
-                    Listing::Draining => "draining",
-                    Listing::Gone => "gone",
+                let word = match readiness {
+                    ListedReadiness::Ready => "ready",
+                    ListedReadiness::Draining => "draining",
+                    ListedReadiness::Removed => "gone",
                 };
                 word.clone_into(&mut seen.listing);
                 if own {
                     "own".clone_into(&mut seen.way);
                 }
             }
-            Event::Way { exchange, change } => {
-                let word = if *change == WayChange::Up { "up" } else { "down" };
+            Event::ExchangeConnection { exchange, change } => {
+                let word = if *change == ConnectionChange::Up { "up" } else { "down" };
                 word.clone_into(&mut self.seen(*exchange).way);
             }
             Event::Group { exchange, free, total } => self.seen(*exchange).group = Some((*free, *total)),
-            Event::Level { exchange, avoided } => self.seen(*exchange).avoided = *avoided,
-            Event::Delay { exchange, expected_ms, out } => {
+            Event::Avoidance { exchange, avoided } => self.seen(*exchange).avoided = *avoided,
+            Event::ExpectedDelay { exchange, expected_ms, open_attempts } => {
                 let seen = self.seen(*exchange);
-                (seen.expected, seen.out) = (Duration::from_millis(u64::from(*expected_ms)), *out);
+                (seen.expected, seen.out) = (Duration::from_millis(u64::from(*expected_ms)), *open_attempts);
             }
             Event::Drain { on, .. } => self.snapshot.draining = *on,
             Event::Stopping => self.snapshot.draining = true,
             Event::SetUp { call, .. } => {
                 self.waiting.insert(call.0, ());
             }
-            Event::Answer { call, exchange, .. } => {
+            Event::Answered { call, exchange, .. } => {
                 self.waiting.remove(&call.0);
                 self.standing.insert(call.0, *exchange);
                 self.snapshot.ended.0 += 1;
             }
-            Event::Refused { call, why, .. } => {
+            Event::Refused { call, reason, .. } => {
                 self.waiting.remove(&call.0);
                 self.snapshot.ended.1 += 1;
-                *self.snapshot.refusals.entry(why.word().to_owned()).or_default() += 1;
+                *self.snapshot.refusals.entry(reason.label().to_owned()).or_default() += 1;
             }
             Event::Failed { call, .. } => {
                 self.waiting.remove(&call.0);
                 self.snapshot.ended.2 += 1;
             }
-            Event::GivenUp { call } => {
+            Event::Abandoned { call } => {
                 self.waiting.remove(&call.0);
             }
             Event::Released { call, .. } => {
--- a/crates/console/tests/console.rs
+++ b/crates/console/tests/console.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use swiftlb_console::{Model, Order, Replay, Seen, Snapshot, SwitchState, fetch, view};
-use swiftlb_record::{Archive, Call, Event, FileWriter, Front, Head, Listing, Record, WayChange, file_name};
+use swiftlb_record::{
+    Archive, CallUid, ConnectionChange, Event, FileWriter, Front, Head, ListedReadiness, Record, file_name,
+};
 
 const PATIENCE: Duration = Duration::from_secs(8);
 
@@ -209,23 +211,31 @@
     let head = Head::of("n0", 0, start);
     let mut writer = FileWriter::create(Vec::new(), &head).expect("memory");
     let mut at = |ms: u64, event| writer.push(&Record { at_us: start + ms * 1_000, event }).expect("memory");
-    at(0, Event::Started { version: "0".to_owned(), home: Some(0), inherited: false });
+    at(0, Event::Started { version: "0".to_owned(), home: Some(0), is_replacement: false });
     let listed = |exchange: u32| {
         let name = format!("s-{exchange}");
-        Event::Exchange { exchange, name, zone: 0, listing: Listing::Ready, born_us: 0 }
+        Event::Exchange { exchange, name, zone: 0, readiness: ListedReadiness::Ready, started_us: 0 }
     };
     (0..2).for_each(|n| at(0, listed(n)));
-    at(10, Event::Way { exchange: 1, change: WayChange::Up });
+    at(10, Event::ExchangeConnection { exchange: 1, change: ConnectionChange::Up });
     for n in 0..300_u64 {
-        let (call, front) = (Call(n), Front::Platform);
+        let (call, front) = (CallUid(n), Front::JsonLines);
         if n == 201 {
-            at(20_100, Event::Way { exchange: 1, change: WayChange::Lost });
+            at(20_100, Event::ExchangeConnection { exchange: 1, change: ConnectionChange::Lost });
         }
         at(
             100 * n + 20,
-            Event::SetUp { call, class: 0, dest: 1, transit_from: None, left_ms: 1, again: false, front },
+            Event::SetUp {
+                call,
+                class: 0,
+                dest: 1,
+                transit_from: None,
+                remaining_ms: 1,
+                was_cut: false,
+                front,
+            },
         );
-        at(100 * n + 60, Event::Answer { call, exchange: 1, took_us: 40_000 });
+        at(100 * n + 60, Event::Answered { call, exchange: 1, elapsed_us: 40_000 });
         at(100 * n + 60, Event::Group { exchange: 1, free: 400 - n as u32, total: 400 });
     }
     at(31_000, Event::Stopped);
--- a/crates/ctl/tests/cli.rs
+++ b/crates/ctl/tests/cli.rs
@@ -5,7 +5,8 @@
 use std::time::{Duration, Instant};
 
 use swiftlb_record::{
-    AttemptOutcome, Call, Cause, Event, FileWriter, Front, Head, Record, WayChange, file_name,
+    AttemptOutcome, AttemptReason, CallUid, ConnectionChange, Event, FileWriter, Front, Head, Record,
+    file_name,
 };
 
 const START: u64 = 1_800_000_000_000_000;
@@ -46,33 +47,44 @@
     let mut at = |ms: u64, event: Event| {
         writer.push(&Record { at_us: START + ms * 1_000, event }).expect("memory");
     };
-    at(0, Event::Started { version: "<1>&".to_owned(), home: Some(node), inherited: false });
+    at(0, Event::Started { version: "<1>&".to_owned(), home: Some(node), is_replacement: false });
     at(0, Event::Classes(vec!["fault-lookup".to_owned()]));
-    let way = |change| Event::Way { exchange: 2, change };
-    at(10, way(WayChange::Up));
+    let way = |change| Event::ExchangeConnection { exchange: 2, change };
+    at(10, way(ConnectionChange::Up));
     for n in 0..200_u64 {
-        let (call, exchange) = (Call(u64::from(node) << 32 | n), 2);
+        let (call, exchange) = (CallUid(u64::from(node) << 32 | n), 2);
         let gone = (100..140).contains(&n);
         if n == 100 {
-            at(100 * n, way(WayChange::Lost));
-            at(100 * n + 1, way(WayChange::Refused));
+            at(100 * n, way(ConnectionChange::Lost));
+            at(100 * n + 1, way(ConnectionChange::Refused));
         }
         if n == 140 {
-            at(100 * n, way(WayChange::Up));
+            at(100 * n, way(ConnectionChange::Up));
         }
-        let (dest, front) = (2, Front::Platform);
+        let (dest, front) = (2, Front::JsonLines);
         at(
             100 * n + 2,
-            Event::SetUp { call, class: 0, dest, transit_from: None, left_ms: 2_000, again: false, front },
+            Event::SetUp {
+                call,
+                class: 0,
+                dest,
+                transit_from: None,
+                remaining_ms: 2_000,
+                was_cut: false,
+                front,
+            },
         );
-        at(100 * n + 2, Event::Attempt { call, attempt: 1, exchange, waits: gone });
+        at(100 * n + 2, Event::Attempt { call, attempt: 1, exchange, awaits_connection: gone });
         if gone {
-            let (outcome, cause) = (AttemptOutcome::NoConnection, Cause::None);
-            at(100 * n + 3, Event::AttemptEnd { call, attempt: 1, exchange, outcome, cause, took_us: 1_000 });
-            let why = swiftlb_record::RefusedWhy::After(outcome, cause);
-            at(100 * n + 3, Event::Refused { call, why, wait_ms: 300 });
+            let (outcome, reason) = (AttemptOutcome::NoConnection, AttemptReason::Unspecified);
+            at(
+                100 * n + 3,
+                Event::AttemptEnded { call, attempt: 1, exchange, outcome, reason, elapsed_us: 1_000 },
+            );
+            let reason = swiftlb_record::RefusalReason::AfterAttempt(outcome, reason);
+            at(100 * n + 3, Event::Refused { call, reason, retry_after_ms: 300 });
         } else {
-            at(100 * n + 50, Event::Answer { call, exchange, took_us: 48_000 });
+            at(100 * n + 50, Event::Answered { call, exchange, elapsed_us: 48_000 });
         }
     }
     at(20_100, Event::Stopped);
--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -9,7 +9,9 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use swiftlb::config::Config;
-use swiftlb::engine::{CallName, CallerWord, ConnId, Effect, Engine, Entry, Front, Input, PeerWord, SetUp};
+use swiftlb::engine::{
+    CallUid, CallerMessage, Effect, Engine, ExchangeConnId, ExchangeMessage, Front, Input, ListEntry, SetUp,
+};
 use swiftlb::interface::{Outcome, Readiness, Reason};
 use swiftlb_emulator::{
     CallerHears, ExchangeHears, ExchangeSays, Input as WorldInput, Listed, Node, Output, Scenario,
@@ -30,7 +32,7 @@
 enum Event {
     World(WorldInput),
     Switch(usize, u32, Input),
-    Dial(usize, u32, ConnId, usize),
+    Dial(usize, u32, ExchangeConnId, usize),
     List(usize, u32),
 }
 
@@ -38,7 +40,7 @@
     engine: Option<Engine>,
     /// Counts processes: what was meant for an earlier one is lost.
     start: u32,
-    conns: BTreeMap<ConnId, usize>,
+    conns: BTreeMap<ExchangeConnId, usize>,
     serial: u32,
     file: Option<(Head, FileWriter<Vec<u8>>)>,
     flushed: Duration,
@@ -70,14 +72,16 @@
     SocketAddr::from(([10, 0, 0, exchange as u8 + 1], 5070))
 }
 
-fn entry(listed: &Listed) -> Entry {
-    Entry {
+fn entry(listed: &Listed) -> ListEntry {
+    ListEntry {
         name: listed.name.as_str().into(),
         address: address(listed.exchange),
         number: listed.exchange as u32,
         zone: (listed.exchange % 3) as u16,
         // The platform tells it in whole milliseconds.
-        born: listed.born.map(|born| UNIX_EPOCH + EPOCH + Duration::from_millis(born.as_millis() as u64)),
+        started_at: listed
+            .born
+            .map(|born| UNIX_EPOCH + EPOCH + Duration::from_millis(born.as_millis() as u64)),
         readiness: if listed.draining { Readiness::Draining } else { Readiness::Ready },
     }
 }
@@ -143,8 +147,10 @@
                 Some(Event::Switch(switch, start, input)) if self.switches[switch].start == start => {
                     self.put(switch, input);
                 }
-                Some(Event::Dial(switch, start, conn, to)) if self.switches[switch].start == start => {
-                    self.dialled(switch, conn, to);
+                Some(Event::Dial(switch, start, exchange_conn, to))
+                    if self.switches[switch].start == start =>
+                {
+                    self.dialled(switch, exchange_conn, to);
                 }
                 Some(Event::List(switch, start)) if self.switches[switch].start == start => self.list(switch),
                 _ => {}
@@ -179,7 +185,7 @@
         (held.file, held.flushed) = (Some((head, writer)), self.now);
         let start = held.start;
         self.perform(switch, effects);
-        self.put(switch, Input::LinkUp { link: LINK, front: Front::Platform });
+        self.put(switch, Input::CallerConnected { caller_conn: LINK, front: Front::JsonLines });
         self.later(LIST, Event::List(switch, start));
         self.tell_world(WorldInput::SwitchUp(switch));
     }
@@ -204,25 +210,30 @@
 
     fn list(&mut self, switch: usize) {
         let (serial, list) = self.world.list(self.now);
-        let entries: Vec<Entry> = list.iter().map(entry).collect();
+        let entries: Vec<ListEntry> = list.iter().map(entry).collect();
         if serial > self.switches[switch].serial {
             self.switches[switch].serial = serial;
             self.put(switch, Input::List(entries));
         }
-        self.put(switch, Input::Listed { serial });
+        self.put(switch, Input::ListConfirmed { serial });
         let start = self.switches[switch].start;
         self.later(LIST, Event::List(switch, start));
     }
 
-    fn dialled(&mut self, switch: usize, conn: ConnId, to: usize) {
+    fn dialled(&mut self, switch: usize, exchange_conn: ExchangeConnId, to: usize) {
         let back = latency(switch, to);
         let start = self.switches[switch].start;
         if !self.world.is_alive(to) {
-            return self
-                .later(back, Event::Switch(switch, start, Input::ConnectFailed { conn, refused: true }));
+            return self.later(
+                back,
+                Event::Switch(switch, start, Input::ExchangeConnectFailed { exchange_conn, refused: true }),
+            );
         }
-        self.switches[switch].conns.insert(conn, to);
-        self.later(back, Event::Switch(switch, start, Input::Connected { conn, bound: false }));
+        self.switches[switch].conns.insert(exchange_conn, to);
+        self.later(
+            back,
+            Event::Switch(switch, start, Input::ExchangeConnected { exchange_conn, carries_calls: false }),
+        );
         self.tell_world(WorldInput::WayUp { switch, exchange: to });
     }
 
@@ -238,33 +249,35 @@
         let start = self.switches[switch].start;
         for effect in effects {
             match effect {
-                Effect::Connect { conn, number, .. } => {
+                Effect::ConnectExchange { exchange_conn, number, .. } => {
                     let to = number as usize;
-                    self.later(latency(switch, to), Event::Dial(switch, start, conn, to));
+                    self.later(latency(switch, to), Event::Dial(switch, start, exchange_conn, to));
                 }
-                Effect::Close { conn } => {
-                    self.switches[switch].conns.remove(&conn);
+                Effect::CloseExchangeConn { exchange_conn } => {
+                    self.switches[switch].conns.remove(&exchange_conn);
                 }
-                Effect::ToExchange { conn, call, word } => {
-                    let Some(exchange) = self.switches[switch].conns.get(&conn).copied() else { continue };
-                    let word = match word {
-                        PeerWord::SetUp { .. } => ExchangeHears::SetUp,
-                        PeerWord::GiveUp | PeerWord::Release { .. } => ExchangeHears::Stop,
-                        PeerWord::Test => ExchangeHears::Test,
+                Effect::ToExchange { exchange_conn, call, message } => {
+                    let Some(exchange) = self.switches[switch].conns.get(&exchange_conn).copied() else {
+                        continue;
+                    };
+                    let word = match message {
+                        ExchangeMessage::SetUp { .. } => ExchangeHears::SetUp,
+                        ExchangeMessage::Cancel | ExchangeMessage::Release { .. } => ExchangeHears::Stop,
+                        ExchangeMessage::Probe => ExchangeHears::Test,
                     };
                     let call = u64::from_str_radix(call.as_str(), 16).expect("an id");
                     let input = WorldInput::ToExchange { switch, exchange, call, word };
                     self.later(latency(switch, exchange), Event::World(input));
                 }
-                Effect::ToCaller { call, word, .. } => {
-                    let word = match word {
-                        CallerWord::Answer { .. } => CallerHears::Answer,
-                        CallerWord::Refused { wait } => CallerHears::Stop(34, wait),
-                        CallerWord::Failed { .. } => CallerHears::Stop(41, Duration::ZERO),
-                        CallerWord::Released { cut } => {
+                Effect::ToCaller { call, message, .. } => {
+                    let word = match message {
+                        CallerMessage::Answered { .. } => CallerHears::Answer,
+                        CallerMessage::Refused { retry_after } => CallerHears::Stop(34, retry_after),
+                        CallerMessage::Failed { .. } => CallerHears::Stop(41, Duration::ZERO),
+                        CallerMessage::Released { cut } => {
                             CallerHears::Stop(if cut { 41 } else { 16 }, Duration::ZERO)
                         }
-                        CallerWord::Checked { .. } => continue,
+                        CallerMessage::HealthCheckResult { .. } => continue,
                     };
                     let call = u64::from_str_radix(call.as_str(), 16).expect("an id");
                     let input = WorldInput::ToCaller { switch, call, word };
@@ -293,24 +306,24 @@
         for output in out {
             match output {
                 Output::FromCaller { switch, call, word } => {
-                    let call = CallName::from_u64(call);
+                    let call = CallUid::from_u64(call);
                     let input = match word {
                         SwitchHears::SetUp { class, left, dest, transit_from } => {
                             let setup = SetUp {
                                 class: class.to_owned(),
                                 received: at(self.now) + latency(switch, switch),
-                                left: Some(left),
-                                key: Some(call.as_str().to_owned()),
+                                remaining: Some(left),
+                                called_number: Some(call.as_str().to_owned()),
                                 dest: dest as u32,
                                 width: Some(1.0),
                                 transit_from: transit_from.map(|from| from as u32),
-                                advised: None,
+                                advised_route: None,
                                 was_cut: false,
                                 description: Some(Arc::from("v=0\r\n")),
                             };
-                            Input::SetUp { link: LINK, call, setup }
+                            Input::SetUp { caller_conn: LINK, call, setup }
                         }
-                        SwitchHears::Stop => Input::HangUp { link: LINK, call, cause: 16 },
+                        SwitchHears::Stop => Input::HangUp { caller_conn: LINK, call, cause: 16 },
                     };
                     let start = self.switches[switch].start;
                     self.later(latency(switch, switch), Event::Switch(switch, start, input));
@@ -321,16 +334,17 @@
                 Output::Shut(exchange) => {
                     for switch in 0..self.switches.len() {
                         let held = &mut self.switches[switch];
-                        let gone: Vec<ConnId> = held
+                        let gone: Vec<ExchangeConnId> = held
                             .conns
                             .iter()
                             .filter(|(_, to)| **to == exchange)
-                            .map(|(conn, _)| *conn)
+                            .map(|(exchange_conn, _)| *exchange_conn)
                             .collect();
                         let start = held.start;
-                        for conn in gone {
-                            self.switches[switch].conns.remove(&conn);
-                            let lost = Event::Switch(switch, start, Input::ConnectionLost { conn });
+                        for exchange_conn in gone {
+                            self.switches[switch].conns.remove(&exchange_conn);
+                            let lost =
+                                Event::Switch(switch, start, Input::ExchangeDisconnected { exchange_conn });
                             self.later(latency(switch, exchange), lost);
                         }
                     }
@@ -350,33 +364,40 @@
 
     fn say(&mut self, switch: usize, exchange: usize, call: u64, word: ExchangeSays) {
         let held = &self.switches[switch];
-        let Some(conn) = held.conns.iter().filter(|(_, to)| **to == exchange).map(|(conn, _)| *conn).max()
+        let Some(exchange_conn) = held
+            .conns
+            .iter()
+            .filter(|(_, to)| **to == exchange)
+            .map(|(exchange_conn, _)| *exchange_conn)
+            .max()
         else {
             return;
         };
-        let call = CallName::from_u64(call);
+        let call = CallUid::from_u64(call);
         let input = match word {
-            ExchangeSays::Answer => Input::Answered { conn, call, description: Some(Arc::from("v=0\r\n")) },
+            ExchangeSays::Answer => {
+                Input::Answered { exchange_conn, call, description: Some(Arc::from("v=0\r\n")) }
+            }
             ExchangeSays::Stop(cause, note, wait) => {
                 let outcome = match cause {
-                    16 => Outcome::Ended,
-                    34 => Outcome::Full,
+                    16 => Outcome::Completed,
+                    34 => Outcome::Congested,
                     41 => Outcome::Reset,
-                    102 => Outcome::Moot,
+                    102 => Outcome::NotSent,
                     _ => Outcome::Busy,
                 };
                 let reason = match note {
                     "group_full" => Reason::NoCircuit,
-                    "tandem_refused" => Reason::TurnedBack,
+                    "tandem_refused" => Reason::CrankBack,
                     "processor_full" => Reason::ProcessorFull(wait.as_secs_f64() * 1e3),
-                    _ => Reason::None,
+                    _ => Reason::Unspecified,
                 };
-                Input::Ended { conn, call, outcome, reason }
+                Input::Ended { exchange_conn, call, outcome, reason }
             }
             ExchangeSays::Group(free, total) => {
-                Input::GroupState { conn, report: vec![f64::from(free), f64::from(total)] }
+                Input::GroupState { exchange_conn, report: vec![f64::from(free), f64::from(total)] }
             }
-            ExchangeSays::Tested => Input::Tested { conn, passed: true, report: None },
+            ExchangeSays::Tested => Input::ProbeResult { exchange_conn, passed: true, report: None },
         };
         self.later(latency(switch, exchange), Event::Switch(switch, held.start, input));
     }
--- a/crates/record/src/clocks.rs
+++ b/crates/record/src/clocks.rs
@@ -11,7 +11,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use crate::event::{AttemptOutcome, Call, Event, Record, ReleasedBy};
+use crate::event::{AttemptOutcome, CallUid, Event, Record, ReleasedBy};
 
 /// Length of a window, in microseconds; longer where there would be more than [`MOST_WINDOWS`].
 const WINDOW_US: u64 = 2_000_000;
@@ -58,7 +58,7 @@
     /// Softswitches by the number of their exchange; `None` where two have the same.
     by_home: HashMap<u32, Option<usize>>,
     homes: Vec<Option<u32>>,
-    transits: HashMap<(Call, usize, usize), Transit>,
+    transits: HashMap<(CallUid, usize, usize), Transit>,
     bounds: Bounds,
     latest_us: u64,
     swept_us: u64,
@@ -100,14 +100,14 @@
                     first(&mut self.transit(*call, softswitch, tandem, at).sent, at);
                 }
             }
-            Event::AttemptEnd { call, exchange, outcome, .. } => {
+            Event::AttemptEnded { call, exchange, outcome, .. } => {
                 // The others are this side's own decisions: the far one may say something later.
-                let said = [AttemptOutcome::Busy, AttemptOutcome::Full].contains(outcome);
+                let said = [AttemptOutcome::Busy, AttemptOutcome::Congested].contains(outcome);
                 if let Some(tandem) = there(*exchange).filter(|_| said) {
                     last(&mut self.transit(*call, softswitch, tandem, at).heard, at);
                 }
             }
-            Event::Answer { call, exchange, .. } => {
+            Event::Answered { call, exchange, .. } => {
                 if let Some(tandem) = there(*exchange) {
                     last(&mut self.transit(*call, softswitch, tandem, at).heard, at);
                 }
@@ -132,14 +132,14 @@
         }
     }
 
-    fn transit(&mut self, call: Call, origin: usize, tandem: usize, at: u64) -> &mut Transit {
+    fn transit(&mut self, call: CallUid, origin: usize, tandem: usize, at: u64) -> &mut Transit {
         let transit = self.transits.entry((call, origin, tandem)).or_default();
         transit.touched = transit.touched.max(at);
         transit
     }
 
     /// Something of a call came to its end at a tandem: for whichever origin it came from.
-    fn done(&mut self, tandem: usize, call: Call, at: u64, place: fn(&mut Transit) -> &mut Option<u64>) {
+    fn done(&mut self, tandem: usize, call: CallUid, at: u64, place: fn(&mut Transit) -> &mut Option<u64>) {
         for origin in 0..self.homes.len() {
             if let Some(transit) = self.transits.get_mut(&(call, origin, tandem)) {
                 first(place(transit), at);
--- a/crates/record/src/event.rs
+++ b/crates/record/src/event.rs
@@ -1,145 +1,146 @@
-//! What is recorded: the inputs and decisions of a softswitch, without descriptions and numbers called.
+//! Events that a softswitch records: its inputs and decisions, without descriptions and numbers called.
 
 use serde::{Deserialize, Serialize};
 
-/// Id of a call: the 16 hexadecimal digits of the platform as a number.
+/// Id of a call: the platform's 16 hexadecimal digits as a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Call(#[serde(with = "postcard::fixint::le")] pub u64);
+pub struct CallUid(#[serde(with = "postcard::fixint::le")] pub u64);
 
-/// One event and when it happened.
+/// An event and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Unix time in microseconds by the clock of the softswitch, which may be off.
+    /// Unix time in microseconds by the clock of the softswitch, which may be wrong.
     pub at_us: u64,
-    /// What happened.
+    /// The event.
     pub event: Event,
 }
 
-/// Something that happened. New kinds are added at the end: a reader passes over those that it does not know.
+/// A recorded event. New kinds are added at the end: readers skip kinds that they do not know.
 ///
-/// Exchanges go by their numbers in the numbering plan, classes by their place in the last [`Event::Classes`].
+/// Exchanges are identified by their numbers in the numbering plan, classes by their index in the last
+/// [`Event::Classes`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// The process serves from now on.
+    /// The process begins to serve.
     Started {
         /// Version of the program.
         version: String,
-        /// Number of the own exchange.
+        /// Number of the home exchange.
         home: Option<u32>,
-        /// It has taken the place of a running process.
-        inherited: bool,
+        /// Whether it replaced a running process.
+        is_replacement: bool,
     },
-    /// Names of the classes of call, by place.
+    /// Names of the classes of call, by index.
     Classes(Vec<String>),
-    /// The order to stop has come.
+    /// The process received the order to stop.
     Stopping,
-    /// The process ends in good order.
+    /// The process ends normally.
     Stopped,
-    /// A call came.
+    /// A call set-up arrived.
     SetUp {
         /// The call.
-        call: Call,
+        call: CallUid,
         /// Its class.
         class: u8,
-        /// Exchange that it is for.
+        /// Destination exchange.
         dest: u32,
-        /// For a call in transit, the exchange that it comes from; `u32::MAX` where that is not said.
+        /// For a call in transit, the exchange that it comes from; `u32::MAX` where that is not given.
         transit_from: Option<u32>,
         /// How long its caller waits, in ms.
-        left_ms: u32,
-        /// It stood, was cut and comes again.
-        again: bool,
-        /// The front that it came by.
+        remaining_ms: u32,
+        /// Whether the call was established before, was cut and is set up again.
+        was_cut: bool,
+        /// The front that it arrived by.
         front: Front,
     },
-    /// It was sent to an exchange.
+    /// The call was sent to an exchange.
     Attempt {
         /// The call.
-        call: Call,
+        call: CallUid,
         /// Number of the attempt, from 1.
         attempt: u8,
-        /// Where it was sent.
+        /// Exchange that it was sent to.
         exchange: u32,
-        /// The set-up waits for a way to be opened.
-        waits: bool,
+        /// Whether the set-up waits for a connection to open.
+        awaits_connection: bool,
     },
-    /// An attempt ended without setting the call up.
-    AttemptEnd {
+    /// An attempt ended without establishing the call.
+    AttemptEnded {
         /// The call.
-        call: Call,
+        call: CallUid,
         /// Number of the attempt, from 1.
         attempt: u8,
-        /// Where it was sent.
+        /// Exchange that it was sent to.
         exchange: u32,
         /// How it ended.
         outcome: AttemptOutcome,
-        /// What the exchange gave as its cause.
-        cause: Cause,
+        /// Reason that the exchange gave.
+        reason: AttemptReason,
         /// Time since it was sent, in microseconds.
-        took_us: u64,
+        elapsed_us: u64,
     },
-    /// The call stands.
-    Answer {
+    /// The call is established.
+    Answered {
         /// The call.
-        call: Call,
-        /// Where it stands.
+        call: CallUid,
+        /// Exchange that answered.
         exchange: u32,
-        /// Time since the set-up came, in microseconds.
-        took_us: u64,
+        /// Time since the set-up arrived, in microseconds.
+        elapsed_us: u64,
     },
-    /// The call was turned away.
+    /// The call was refused.
     Refused {
         /// The call.
-        call: Call,
+        call: CallUid,
         /// Why, as far as this softswitch knew.
-        why: RefusedWhy,
-        /// How long its caller is to stay away, in ms; 0 for no advice.
-        wait_ms: u32,
+        reason: RefusalReason,
+        /// Time for which its caller should not retry, in ms; 0 for no advice.
+        retry_after_ms: u32,
     },
-    /// The call was given up.
+    /// The call failed.
     Failed {
         /// The call.
-        call: Call,
+        call: CallUid,
         /// Why.
-        why: FailedWhy,
+        reason: FailureReason,
     },
-    /// Its caller stopped waiting.
-    GivenUp {
+    /// The caller abandoned the call before it was established.
+    Abandoned {
         /// The call.
-        call: Call,
+        call: CallUid,
     },
-    /// A call that stood is over.
+    /// An established call has ended.
     Released {
         /// The call.
-        call: Call,
-        /// Where it stood; `None` if it did before this process started.
+        call: CallUid,
+        /// Exchange that it was established to; `None` if that was before this process started.
         exchange: Option<u32>,
         /// Who ended it.
         by: ReleasedBy,
-        /// It was cut before its end.
+        /// Whether it was cut before its end.
         cut: bool,
     },
-    /// A new list of exchanges counts.
+    /// A new list of exchanges takes effect.
     List {
         /// Number of the last event in it.
         serial: u32,
-        /// Exchanges in it.
+        /// Number of exchanges in it.
         exchanges: u32,
     },
-    /// What the list says of one exchange has changed.
+    /// The list's entry for an exchange changed.
     Exchange {
         /// Its number.
         exchange: u32,
-        /// Its name, which outlives a restart of its processor and not its replacement.
+        /// Its name, which is kept when its processor restarts and changes when the exchange is replaced.
         name: String,
         /// Its zone, only compared.
         zone: u16,
-        /// Whether it takes work.
-        listing: Listing,
+        /// Whether it accepts calls.
+        readiness: ListedReadiness,
         /// When its processor last started, in Unix microseconds; 0 for long ago.
-        born_us: u64,
+        started_us: u64,
     },
-    /// News of the group toward an exchange.
+    /// State of the group toward an exchange.
     Group {
         /// The exchange.
         exchange: u32,
@@ -148,222 +149,222 @@
         /// Size of the group.
         total: u32,
     },
-    /// A way to an exchange has come up or gone.
-    Way {
+    /// A connection to an exchange opened, failed to open or was lost.
+    ExchangeConnection {
         /// The exchange.
         exchange: u32,
-        /// How.
-        change: WayChange,
+        /// What happened.
+        change: ConnectionChange,
     },
-    /// So many connections from callers are open now.
-    Links {
-        /// How many.
+    /// The number of open connections from callers changed.
+    CallerConnections {
+        /// Connections that are open now.
         open: u32,
     },
-    /// Callers are sent away from now on, or no longer.
+    /// A drain of the softswitch began or ended.
     Drain {
-        /// From now on.
+        /// Whether it began.
         on: bool,
-        /// Whose order it was.
-        by: Drainer,
+        /// Who ordered it.
+        by: DrainSource,
     },
-    /// The level at which calls go to an exchange has changed.
-    Level {
+    /// The softswitch began or ceased to avoid an exchange.
+    Avoidance {
         /// The exchange.
         exchange: u32,
-        /// Calls of every class are kept from it: it is told to drain, or far too slow.
+        /// Whether calls of every class are kept from it because it drains or is far too slow.
         avoided: bool,
     },
-    /// What the decisions take the wait at an exchange to be.
-    Delay {
+    /// Delay at an exchange as the decision module expects it.
+    ExpectedDelay {
         /// The exchange.
         exchange: u32,
         /// Expected time until an answer, in ms.
         expected_ms: u32,
-        /// Attempts out there now.
-        out: u32,
+        /// Attempts to it that are open now.
+        open_attempts: u32,
     },
-    /// So many records were lost here because they came faster than they could be written.
-    Lost {
+    /// Records were lost here because they came faster than they could be written.
+    RecordsLost {
         /// How many.
         records: u64,
     },
 }
 
-/// The front that a call came by.
+/// The front that a call arrived by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Front {
-    /// The platform's JSON lines.
-    Platform,
-    /// IAX2.
-    Handsets,
+    /// JSON lines, spoken by the platform.
+    JsonLines,
+    /// IAX2, spoken by handsets and gateways.
+    Iax2,
 }
 
-/// How an attempt ended that did not set the call up.
+/// How an attempt ended that did not establish the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum AttemptOutcome {
-    /// All lines of the number busy, or a fault in signalling.
+    /// All lines of the number are busy, or a signalling fault.
     Busy,
-    /// Turned back, or no room.
-    Full,
+    /// Cranked back or no capacity.
+    Congested,
     /// No answer in time.
     TimedOut,
-    /// No way to the exchange came up.
+    /// No connection to the exchange could be opened.
     NoConnection,
-    /// It broke on its way.
+    /// The connection broke during the attempt.
     Reset,
-    /// Called off.
+    /// Cancelled by the softswitch.
     Cancelled,
     /// Never sent.
-    Moot,
-    /// It stood and ended, but its answer was lost.
+    NotSent,
+    /// The call was established and ended, but the answer was lost.
     AnswerLost,
 }
 
-/// Why an exchange had no room.
+/// Why an attempt was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Cause {
-    /// Nothing said.
-    None,
-    /// No circuit.
+pub enum AttemptReason {
+    /// No reason given.
+    Unspecified,
+    /// No free circuit.
     NoCircuit,
-    /// Turned back by the tandem for want of circuits (crank-back).
-    TurnedBack,
-    /// The processor beyond the tandem was full.
-    FullBeyond,
-    /// The processor was full, with the wait that it named, in ms.
+    /// The tandem had no free circuit (crank-back).
+    CrankBack,
+    /// The processor of the destination, beyond the tandem, was full.
+    DestinationFull,
+    /// The processor was full, with the wait that it reported, in ms.
     ProcessorFull(u32),
     /// All lines of the number are busy.
-    LinesBusy,
+    UserBusy,
 }
 
-/// Why a call was turned away.
+/// Why a call was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum RefusedWhy {
-    /// Before any attempt, with too few free circuits known toward its exchange and no tandem chosen.
+pub enum RefusalReason {
+    /// Before any attempt: too few free circuits known toward its exchange, and no tandem chosen.
     NoCircuit,
-    /// Before any attempt although there were circuits: its exchange is avoided or too slow, or the softswitch sheds.
+    /// Before any attempt although circuits were free: its exchange is avoided or too slow, or the softswitch sheds.
     Shed,
-    /// After an attempt, which ended so.
-    After(AttemptOutcome, Cause),
-    /// Too many set-ups were open here.
-    TooMany,
-    /// This softswitch is being emptied.
-    SentAway,
+    /// After an attempt with this outcome and reason.
+    AfterAttempt(AttemptOutcome, AttemptReason),
+    /// Too many set-ups were open in this softswitch.
+    TooManySetUps,
+    /// This softswitch is draining.
+    Draining,
 }
 
-impl RefusedWhy {
-    /// One word for it, as figures and consoles count it.
-    pub fn word(self) -> &'static str {
+impl RefusalReason {
+    /// The reason as the label used in metrics and consoles.
+    pub fn label(self) -> &'static str {
         match self {
             Self::NoCircuit => "no-circuit",
             Self::Shed => "shed",
-            Self::TooMany => "too-many",
-            Self::SentAway => "sent-away",
-            Self::After(_, Cause::NoCircuit) => "group-full",
-            Self::After(_, Cause::TurnedBack) => "turned-back",
-            Self::After(_, Cause::FullBeyond) => "full-beyond",
-            Self::After(_, Cause::ProcessorFull(_)) => "processor-full",
-            Self::After(AttemptOutcome::TimedOut, _) => "timed-out",
-            Self::After(AttemptOutcome::NoConnection, _) => "no-connection",
-            Self::After(AttemptOutcome::Reset, _) => "reset",
-            Self::After(..) => "other",
+            Self::TooManySetUps => "too-many",
+            Self::Draining => "sent-away",
+            Self::AfterAttempt(_, AttemptReason::NoCircuit) => "group-full",
+            Self::AfterAttempt(_, AttemptReason::CrankBack) => "turned-back",
+            Self::AfterAttempt(_, AttemptReason::DestinationFull) => "full-beyond",
+            Self::AfterAttempt(_, AttemptReason::ProcessorFull(_)) => "processor-full",
+            Self::AfterAttempt(AttemptOutcome::TimedOut, _) => "timed-out",
+            Self::AfterAttempt(AttemptOutcome::NoConnection, _) => "no-connection",
+            Self::AfterAttempt(AttemptOutcome::Reset, _) => "reset",
+            Self::AfterAttempt(..) => "other",
         }
     }
 }
 
-/// Why a call was given up.
+/// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum FailedWhy {
+pub enum FailureReason {
     /// The number is busy.
     Busy,
-    /// The decisions gave it up before any attempt.
+    /// The decision module failed it before any attempt.
     NoRoute,
-    /// The decisions gave it up after an attempt, which ended so.
-    After(AttemptOutcome, Cause),
-    /// No answer was given in time; the engine gave one.
-    Overdue,
-    /// What came on its connection could not be read.
-    Spoilt,
+    /// The decision module failed it after an attempt with this outcome and reason.
+    AfterAttempt(AttemptOutcome, AttemptReason),
+    /// The decision module gave no answer in time, so the engine failed the call.
+    DecisionOverdue,
+    /// Data on its caller connection could not be read.
+    CallerStreamCorrupt,
 }
 
-/// Who ended a call that stood.
+/// Who ended an established call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ReleasedBy {
-    /// Its caller.
+    /// The caller.
     Caller,
-    /// The exchange said that it is over.
+    /// The exchange reported its end.
     Exchange,
     /// The exchange is gone or unreachable.
-    Loss,
+    ExchangeLost,
 }
 
-/// What the list says of an exchange.
+/// Whether an exchange accepts calls, according to the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Listing {
-    /// Takes work.
+pub enum ListedReadiness {
+    /// Accepts calls.
     Ready,
-    /// Finishes what it has.
+    /// Completes its calls and accepts no new ones.
     Draining,
-    /// In the list no more.
-    Gone,
+    /// Removed from the list.
+    Removed,
 }
 
-/// What became of a way to an exchange.
+/// Change of a connection to an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum WayChange {
-    /// It is up.
+pub enum ConnectionChange {
+    /// It opened.
     Up,
-    /// The exchange refused it: nothing runs there.
+    /// The exchange refused it: no process listens there.
     Refused,
-    /// It did not come up in time.
+    /// It did not open in time.
     TimedOut,
     /// It broke or was closed.
     Lost,
 }
 
-/// Whose order a drain was.
+/// Who ordered a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Drainer {
-    /// An operator's.
+pub enum DrainSource {
+    /// An operator.
     Operator,
-    /// The platform's, by signal.
+    /// The platform, by signal.
     Signal,
 }
 
 impl Event {
-    /// The exchange that it is about, if it is about one.
+    /// The exchange that the event concerns, if any.
     pub fn exchange(&self) -> Option<u32> {
         match self {
             Self::Attempt { exchange, .. }
-            | Self::AttemptEnd { exchange, .. }
-            | Self::Answer { exchange, .. }
+            | Self::AttemptEnded { exchange, .. }
+            | Self::Answered { exchange, .. }
             | Self::Exchange { exchange, .. }
             | Self::Group { exchange, .. }
-            | Self::Way { exchange, .. }
-            | Self::Level { exchange, .. }
-            | Self::Delay { exchange, .. } => Some(*exchange),
+            | Self::ExchangeConnection { exchange, .. }
+            | Self::Avoidance { exchange, .. }
+            | Self::ExpectedDelay { exchange, .. } => Some(*exchange),
             Self::Released { exchange, .. } => *exchange,
             _ => None,
         }
     }
 
-    /// The call that it is about, if it is about one.
-    pub fn call(&self) -> Option<Call> {
+    /// The call that the event concerns, if any.
+    pub fn call(&self) -> Option<CallUid> {
         match self {
             Self::SetUp { call, .. }
             | Self::Attempt { call, .. }
-            | Self::AttemptEnd { call, .. }
-            | Self::Answer { call, .. }
+            | Self::AttemptEnded { call, .. }
+            | Self::Answered { call, .. }
             | Self::Refused { call, .. }
             | Self::Failed { call, .. }
-            | Self::GivenUp { call }
+            | Self::Abandoned { call }
             | Self::Released { call, .. } => Some(*call),
             _ => None,
         }
     }
 
-    /// Its kind as one word, as it stands in reports.
+    /// The kind of event as the label used in reports.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Started { .. } => "started",
@@ -372,21 +373,21 @@
             Self::Stopped => "stopped",
             Self::SetUp { .. } => "set-up",
             Self::Attempt { .. } => "attempt",
-            Self::AttemptEnd { .. } => "attempt-end",
-            Self::Answer { .. } => "answer",
+            Self::AttemptEnded { .. } => "attempt-end",
+            Self::Answered { .. } => "answer",
             Self::Refused { .. } => "refused",
             Self::Failed { .. } => "failed",
-            Self::GivenUp { .. } => "given-up",
+            Self::Abandoned { .. } => "given-up",
             Self::Released { .. } => "released",
             Self::List { .. } => "list",
             Self::Exchange { .. } => "exchange",
             Self::Group { .. } => "group",
-            Self::Way { .. } => "way",
-            Self::Links { .. } => "links",
+            Self::ExchangeConnection { .. } => "way",
+            Self::CallerConnections { .. } => "links",
             Self::Drain { .. } => "drain",
-            Self::Level { .. } => "level",
-            Self::Delay { .. } => "delay",
-            Self::Lost { .. } => "lost",
+            Self::Avoidance { .. } => "level",
+            Self::ExpectedDelay { .. } => "delay",
+            Self::RecordsLost { .. } => "lost",
         }
     }
 }
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -32,8 +32,8 @@
 
 pub use archive::{Archive, Run, Trouble};
 pub use event::{
-    AttemptOutcome, Call, Cause, Drainer, Event, FailedWhy, Front, Listing, Record, RefusedWhy, ReleasedBy,
-    WayChange,
+    AttemptOutcome, AttemptReason, CallUid, ConnectionChange, DrainSource, Event, FailureReason, Front,
+    ListedReadiness, Record, RefusalReason, ReleasedBy,
 };
 pub use format::{BlockHead, BlockKind, FormatError, Head, VERSION};
 pub use read::{Block, Damage, FileReader, Gap, Item};
--- a/crates/record/src/merge.rs
+++ b/crates/record/src/merge.rs
@@ -9,7 +9,7 @@
 
 use crate::archive::{Archive, Trouble};
 use crate::clocks::{Clocks, Sightings};
-use crate::event::{Call, Event, Record};
+use crate::event::{CallUid, Event, Record};
 use crate::format::BlockKind;
 use crate::read::{FileReader, Gap, Item};
 
@@ -121,9 +121,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Link {
     /// A call was sent from the softswitch of this exchange to that of the other.
-    Sent(Call, u32, u32),
+    Sent(CallUid, u32, u32),
     /// It was answered or ended at the softswitch of this exchange.
-    Done(Call, u32),
+    Done(CallUid, u32),
 }
 
 /// The records of an archive as one story.
@@ -249,7 +249,7 @@
             Event::SetUp { call, transit_from: Some(from), .. } => {
                 Some((Link::Sent(*call, *from, self.home(softswitch)?), *from))
             }
-            Event::Answer { call, exchange, .. } => {
+            Event::Answered { call, exchange, .. } => {
                 // Of a direct call the exchange itself is the cause, which records nothing.
                 let passed = self.causes.contains_key(&Link::Sent(*call, self.home(softswitch)?, *exchange));
                 let came = self.causes.contains_key(&Link::Done(*call, u32::MAX - *exchange));
@@ -266,7 +266,7 @@
             Event::Attempt { call, exchange, .. } => vec![Link::Sent(*call, home, *exchange)],
             // That it came there at all: only then its answer there is a cause.
             Event::SetUp { call, transit_from: Some(_), .. } => vec![Link::Done(*call, u32::MAX - home)],
-            Event::Answer { call, .. } => vec![Link::Done(*call, home)],
+            Event::Answered { call, .. } => vec![Link::Done(*call, home)],
             _ => return,
         };
         for link in links {
--- a/crates/record/src/recorder.rs
+++ b/crates/record/src/recorder.rs
@@ -12,7 +12,7 @@
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
 use thiserror::Error;
 
-use crate::event::{Event, Listing, Record};
+use crate::event::{Event, ListedReadiness, Record};
 use crate::format::Head;
 use crate::retention::{Retention, file_name};
 use crate::write::FileWriter;
@@ -189,7 +189,7 @@
         }
         self.last_us = record.at_us;
         if self.lost > 0 {
-            let told = Record { at_us: record.at_us, event: Event::Lost { records: self.lost } };
+            let told = Record { at_us: record.at_us, event: Event::RecordsLost { records: self.lost } };
             if self.queue.try_send(told).is_err() {
                 self.lost += 1;
                 return;
@@ -252,7 +252,7 @@
                     self.write(&record)?;
                 }
                 if lost > 0 {
-                    self.write(&Record { at_us, event: Event::Lost { records: lost } })?;
+                    self.write(&Record { at_us, event: Event::RecordsLost { records: lost } })?;
                 }
                 return self.file.take().map_or(Ok(()), |file| file.finish()?.flush());
             }
@@ -283,11 +283,11 @@
             Event::Classes(_) => (1, 0, none()),
             Event::Exchange { exchange, name, .. } => (2, *exchange, name.clone()),
             Event::Group { exchange, .. } => (3, *exchange, none()),
-            Event::Level { exchange, .. } => (4, *exchange, none()),
+            Event::Avoidance { exchange, .. } => (4, *exchange, none()),
             Event::Drain { .. } => (5, 0, none()),
             _ => return,
         };
-        if matches!(&record.event, Event::Exchange { listing: Listing::Gone, .. }) {
+        if matches!(&record.event, Event::Exchange { readiness: ListedReadiness::Removed, .. }) {
             self.context.remove(&key);
         } else {
             self.context.insert(key, record.clone());
--- a/crates/record/tests/clocks.rs
+++ b/crates/record/tests/clocks.rs
@@ -8,7 +8,9 @@
 use common::Draw;
 use swiftlb_record::clocks::{Bound, Bounds, Clocks, Sightings};
 use swiftlb_record::merge::{Merge, Told, What};
-use swiftlb_record::{Archive, Call, Damage, Event, FileWriter, Front, Head, Record, ReleasedBy, file_name};
+use swiftlb_record::{
+    Archive, CallUid, Damage, Event, FileWriter, Front, Head, Record, ReleasedBy, file_name,
+};
 
 const START: u64 = 1_700_000_000_000_000;
 
@@ -30,19 +32,23 @@
     let mut draw = Draw(seed);
     let mut all = Vec::new();
     for i in 0..calls {
-        let call = Call(draw.next());
+        let call = CallUid(draw.next());
         let begin = START + 1_000_000 + i * 25_000 + draw.below(20_000);
         let origin = draw.below(nodes);
         let other = |draw: &mut Draw, not: u64| (not + 1 + draw.below(nodes - 1)) % nodes;
         let tandem = other(&mut draw, origin);
         let set_up = |dest: u64, transit_from: Option<u64>| {
             let (dest, transit_from) = (dest as u32, transit_from.map(|n| n as u32));
-            let front = Front::Platform;
-            Event::SetUp { call, class: 0, dest, transit_from, left_ms: 3_000, again: false, front }
+            let front = Front::JsonLines;
+            Event::SetUp { call, class: 0, dest, transit_from, remaining_ms: 3_000, was_cut: false, front }
         };
-        let attempt =
-            |exchange: u64| Event::Attempt { call, attempt: 1, exchange: exchange as u32, waits: false };
-        let answer = |exchange: u64| Event::Answer { call, exchange: exchange as u32, took_us: 0 };
+        let attempt = |exchange: u64| Event::Attempt {
+            call,
+            attempt: 1,
+            exchange: exchange as u32,
+            awaits_connection: false,
+        };
+        let answer = |exchange: u64| Event::Answered { call, exchange: exchange as u32, elapsed_us: 0 };
         let released = |exchange: u64| Event::Released {
             call,
             exchange: Some(exchange as u32),
@@ -240,7 +246,7 @@
         let mut merge = merge;
         let told: Vec<Told> = merge.by_ref().collect();
         assert!(told.windows(2).all(|pair| pair[0].at_us <= pair[1].at_us), "in order");
-        let mut sent: HashMap<(Call, u32), u64> = HashMap::new();
+        let mut sent: HashMap<(CallUid, u32), u64> = HashMap::new();
         let (mut pairs, mut events) = (0, 0);
         for one in &told {
             let What::Event(event) = &one.what else { continue };
--- a/crates/record/tests/common/mod.rs
+++ b/crates/record/tests/common/mod.rs
@@ -6,8 +6,8 @@
 
 pub use draw::Draw;
 use swiftlb_record::{
-    AttemptOutcome, Call, Cause, Event, FileWriter, Front, Head, Listing, Record, RefusedWhy, ReleasedBy,
-    WayChange,
+    AttemptOutcome, AttemptReason, CallUid, ConnectionChange, Event, FileWriter, Front, Head,
+    ListedReadiness, Record, RefusalReason, ReleasedBy,
 };
 
 /// Records of all kinds, in the order of their times.
@@ -17,8 +17,8 @@
     let mut all = Vec::with_capacity(count);
     for _ in 0..count {
         at_us += draw.below(4_000);
-        let (call, exchange) = (Call(draw.next()), draw.below(9) as u32);
-        let took_us = draw.below(1 << 40);
+        let (call, exchange) = (CallUid(draw.next()), draw.below(9) as u32);
+        let elapsed_us = draw.below(1 << 40);
         let event = match draw.below(14) {
             0 => {
                 let (dest, transit_from) = (exchange, (draw.below(4) == 0).then_some(3));
@@ -27,36 +27,37 @@
                     class: 1,
                     dest,
                     transit_from,
-                    left_ms: 9_000,
-                    again: false,
-                    front: Front::Platform,
+                    remaining_ms: 9_000,
+                    was_cut: false,
+                    front: Front::JsonLines,
                 }
             }
-            1 => Event::Attempt { call, attempt: 1, exchange, waits: draw.below(2) == 0 },
+            1 => Event::Attempt { call, attempt: 1, exchange, awaits_connection: draw.below(2) == 0 },
             2 => {
-                let (outcome, cause) = (AttemptOutcome::Full, Cause::ProcessorFull(draw.below(4_000) as u32));
-                Event::AttemptEnd { call, attempt: 2, exchange, outcome, cause, took_us }
+                let (outcome, reason) =
+                    (AttemptOutcome::Congested, AttemptReason::ProcessorFull(draw.below(4_000) as u32));
+                Event::AttemptEnded { call, attempt: 2, exchange, outcome, reason, elapsed_us }
             }
-            3 => Event::Answer { call, exchange, took_us },
+            3 => Event::Answered { call, exchange, elapsed_us },
             4 => {
-                let why = RefusedWhy::After(AttemptOutcome::TimedOut, Cause::TurnedBack);
-                Event::Refused { call, why, wait_ms: 300 }
+                let reason = RefusalReason::AfterAttempt(AttemptOutcome::TimedOut, AttemptReason::CrankBack);
+                Event::Refused { call, reason, retry_after_ms: 300 }
             }
-            5 => Event::GivenUp { call },
-            6 => Event::Released { call, exchange: None, by: ReleasedBy::Loss, cut: true },
+            5 => Event::Abandoned { call },
+            6 => Event::Released { call, exchange: None, by: ReleasedBy::ExchangeLost, cut: true },
             7 => Event::Exchange {
                 exchange,
                 name: "s-00c41f7a".to_owned(),
                 zone: 2,
-                listing: Listing::Ready,
-                born_us: took_us,
+                readiness: ListedReadiness::Ready,
+                started_us: elapsed_us,
             },
             8 => Event::Group { exchange, free: draw.below(140) as u32, total: 140 },
-            9 => Event::Way { exchange, change: WayChange::Refused },
-            10 => Event::Level { exchange, avoided: true },
-            11 => Event::Delay { exchange, expected_ms: 80, out: 3 },
+            9 => Event::ExchangeConnection { exchange, change: ConnectionChange::Refused },
+            10 => Event::Avoidance { exchange, avoided: true },
+            11 => Event::ExpectedDelay { exchange, expected_ms: 80, open_attempts: 3 },
             12 => Event::Classes(vec!["unit-status".to_owned(), "fault-lookup".to_owned()]),
-            _ => Event::Lost { records: took_us },
+            _ => Event::RecordsLost { records: elapsed_us },
         };
         all.push(Record { at_us, event });
     }
@@ -68,18 +69,21 @@
     let mut draw = Draw(9);
     let mut all = Vec::new();
     for i in 0..calls as u64 {
-        let (call, exchange) = (Call(draw.next()), draw.below(7) as u32);
+        let (call, exchange) = (CallUid(draw.next()), draw.below(7) as u32);
         let begin = 1_700_000_000_000_000 + i * 16_400 + draw.below(16_000);
         let answer = begin + 40_000 + draw.below(60_000);
         let end = answer + 5_000_000 + draw.below(9_000_000);
         let class = if draw.below(4) == 0 { 2 } else { 0 };
         let mut at = |at_us, event| all.push(Record { at_us, event });
-        let (transit_from, left_ms) = (None, 9_000);
-        let front = Front::Platform;
-        at(begin, Event::SetUp { call, class, dest: exchange, transit_from, left_ms, again: false, front });
-        at(begin + 40, Event::Attempt { call, attempt: 1, exchange, waits: false });
+        let (transit_from, remaining_ms) = (None, 9_000);
+        let front = Front::JsonLines;
+        at(
+            begin,
+            Event::SetUp { call, class, dest: exchange, transit_from, remaining_ms, was_cut: false, front },
+        );
+        at(begin + 40, Event::Attempt { call, attempt: 1, exchange, awaits_connection: false });
         at(begin + 900, Event::Group { exchange, free: 20 + draw.below(60) as u32, total: 137 });
-        at(answer, Event::Answer { call, exchange, took_us: answer - begin });
+        at(answer, Event::Answered { call, exchange, elapsed_us: answer - begin });
         at(end, Event::Released { call, exchange: Some(exchange), by: ReleasedBy::Exchange, cut: false });
         at(end + 300, Event::Group { exchange, free: 20 + draw.below(60) as u32, total: 137 });
     }
--- a/crates/record/tests/recorder.rs
+++ b/crates/record/tests/recorder.rs
@@ -136,7 +136,7 @@
         for record in block.records {
             // Those of the test are drawn with figures that no count reaches.
             match record.event {
-                Event::Lost { records } if records <= 50_000 => lost += records,
+                Event::RecordsLost { records } if records <= 50_000 => lost += records,
                 _ => kept += 1,
             }
         }
--- a/crates/report/examples/hour.rs
+++ b/crates/report/examples/hour.rs
@@ -16,7 +16,7 @@
 
 use draw::Draw;
 use swiftlb_record::{
-    Call, Event, FileWriter, Front, Head, Listing, Record, ReleasedBy, WayChange, file_name,
+    CallUid, ConnectionChange, Event, FileWriter, Front, Head, ListedReadiness, Record, ReleasedBy, file_name,
 };
 
 const NODES: u64 = 7;
@@ -40,24 +40,24 @@
     let mut written = 0_u64;
     for (node, records) in waiting.iter_mut().enumerate() {
         let home = Some(node as u32);
-        records.push((START, Event::Started { version: "0".to_owned(), home, inherited: false }));
+        records.push((START, Event::Started { version: "0".to_owned(), home, is_replacement: false }));
         records.push((
             START,
             Event::Classes(["unit-status", "fault-lookup", "parts-check"].map(str::to_owned).to_vec()),
         ));
         for exchange in 0..NODES as u32 {
-            let (name, listing) = (format!("s-{exchange}"), Listing::Ready);
-            records.push((START, Event::Exchange { exchange, name, zone: 0, listing, born_us: 0 }));
+            let (name, readiness) = (format!("s-{exchange}"), ListedReadiness::Ready);
+            records.push((START, Event::Exchange { exchange, name, zone: 0, readiness, started_us: 0 }));
             if exchange != node as u32 {
-                records.push((START, Event::Way { exchange, change: WayChange::Up }));
+                records.push((START, Event::ExchangeConnection { exchange, change: ConnectionChange::Up }));
             }
         }
     }
     for second in 0..seconds {
         let begin = START + second * 1_000_000;
         for _ in 0..rate {
-            let call = Call(draw.below(u64::MAX));
-            let (origin, front) = (draw.below(NODES), Front::Platform);
+            let call = CallUid(draw.below(u64::MAX));
+            let (origin, front) = (draw.below(NODES), Front::JsonLines);
             let dest = (origin + 1 + draw.below(NODES - 1)) % NODES;
             let came = begin + draw.below(1_000_000);
             let class = [0, 0, 0, 0, 0, 0, 0, 1, 2, 2][draw.below(10) as usize];
@@ -66,15 +66,16 @@
             let mut at = |node: u64, at_us: u64, event: Event| waiting[node as usize].push((at_us, event));
             let set_up = |transit_from| {
                 let dest = dest as u32;
-                Event::SetUp { call, class, dest, transit_from, left_ms: 3_000, again: false, front }
+                Event::SetUp { call, class, dest, transit_from, remaining_ms: 3_000, was_cut: false, front }
             };
-            let attempt = |to: u64| Event::Attempt { call, attempt: 1, exchange: to as u32, waits: false };
+            let attempt =
+                |to: u64| Event::Attempt { call, attempt: 1, exchange: to as u32, awaits_connection: false };
             let group = |draw: &mut Draw, to: u64| Event::Group {
                 exchange: to as u32,
                 free: 20 + draw.below(60) as u32,
                 total: 137,
             };
-            let answer = |to: u64, took_us| Event::Answer { call, exchange: to as u32, took_us };
+            let answer = |to: u64, elapsed_us| Event::Answered { call, exchange: to as u32, elapsed_us };
             let released = |to: u64| Event::Released {
                 call,
                 exchange: Some(to as u32),
@@ -99,8 +100,9 @@
         }
         for (node, records) in waiting.iter_mut().enumerate() {
             for exchange in (0..NODES as u32).filter(|exchange| *exchange != node as u32) {
-                let (expected_ms, out) = (30 + draw.below(60) as u32, draw.below(4) as u32);
-                records.push((begin + 500_000, Event::Delay { exchange, expected_ms, out }));
+                let (expected_ms, open_attempts) = (30 + draw.below(60) as u32, draw.below(4) as u32);
+                records
+                    .push((begin + 500_000, Event::ExpectedDelay { exchange, expected_ms, open_attempts }));
             }
             records.sort_by_key(|(at_us, _)| *at_us);
             let until = begin + 1_000_000;
--- a/crates/report/src/incident/cost.rs
+++ b/crates/report/src/incident/cost.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use swiftlb_record::{Call, Event};
+use swiftlb_record::{CallUid, Event};
 
 use super::node::Key;
 use super::{Cost, Incident, Kind};
@@ -65,7 +65,7 @@
     }
 
     pub(super) fn see(&mut self, at: u64, who: usize, event: &Event) -> Spent {
-        let Some(Call(call)) = event.call() else { return Spent::default() };
+        let Some(CallUid(call)) = event.call() else { return Spent::default() };
         let key = (who, call);
         let mut spent = Spent { key, ..Spent::default() };
         match event {
@@ -77,13 +77,13 @@
                     open.out_at = Some(*exchange);
                 }
             }
-            Event::AttemptEnd { exchange, .. } => {
+            Event::AttemptEnded { exchange, .. } => {
                 if let Some(open) = self.open.get_mut(&key) {
                     open.out_at = None;
                     open.vain.push(*exchange);
                 }
             }
-            Event::Answer { exchange, .. } => {
+            Event::Answered { exchange, .. } => {
                 if let Some(open) = self.open.remove(&key) {
                     spent.direct = open.dest == *exchange;
                     spent.dest = Some(open.dest);
@@ -96,7 +96,7 @@
                     self.lose(at, who, Loss::Lost, &open);
                 }
             }
-            Event::GivenUp { .. } => {
+            Event::Abandoned { .. } => {
                 if let Some(open) = self.open.remove(&key) {
                     (spent.out_at, spent.dest) = (open.out_at, Some(open.dest));
                     self.lose(at, who, Loss::GivenUp, &open);
--- a/crates/report/src/incident/list.rs
+++ b/crates/report/src/incident/list.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use swiftlb_record::Listing;
+use swiftlb_record::ListedReadiness;
 
 use super::{Cost, Incident, Kind};
 
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 pub(super) struct ListWatch {
     /// The last word on each name; only the first softswitch to hear it counts.
-    known: HashMap<(u32, String), (Listing, u64)>,
+    known: HashMap<(u32, String), (ListedReadiness, u64)>,
     /// Exchanges that are gone for all to see while the list still has them, and since when.
     contradicted: BTreeMap<u32, u64>,
     incidents: Vec<Incident>,
@@ -27,26 +27,26 @@
         &mut self,
         at: u64,
         (exchange, name): (u32, &str),
-        listing: Listing,
-        born_us: u64,
+        listing: ListedReadiness,
+        started_us: u64,
         down_us: Option<u64>,
     ) -> Option<(&'static str, String)> {
-        if listing != Listing::Ready
+        if listing != ListedReadiness::Ready
             && self.contradicted.remove(&exchange).is_some()
             && self.contradicted.is_empty()
         {
             self.end(at);
         }
         let key = (exchange, name.to_owned());
-        let before = self.known.insert(key, (listing, born_us));
-        if before == Some((listing, born_us)) {
+        let before = self.known.insert(key, (listing, started_us));
+        if before == Some((listing, started_us)) {
             return None;
         }
         // The first list that is told at all is no news.
-        let first = before.is_none() && born_us == 0;
+        let first = before.is_none() && started_us == 0;
         let happened = match listing {
-            Listing::Gone => down_us,
-            Listing::Ready if born_us > 0 => Some(born_us),
+            ListedReadiness::Removed => down_us,
+            ListedReadiness::Ready if started_us > 0 => Some(started_us),
             _ => None,
         };
         let late = happened.map(|happened| at.saturating_sub(happened)).filter(|late| *late > 0);
@@ -59,9 +59,9 @@
             late.map_or(String::new(), |late| format!(", {:.1} s after it happened", late as f64 / 1e6));
         match listing {
             _ if first => None,
-            Listing::Ready => Some(("list-has", format!("{name} takes work{how}"))),
-            Listing::Draining => Some(("list-drains", format!("{name} finishes what it has"))),
-            Listing::Gone => Some(("list-lost", format!("{name} is in the list no more{how}"))),
+            ListedReadiness::Ready => Some(("list-has", format!("{name} takes work{how}"))),
+            ListedReadiness::Draining => Some(("list-drains", format!("{name} finishes what it has"))),
+            ListedReadiness::Removed => Some(("list-lost", format!("{name} is in the list no more{how}"))),
         }
     }
 
@@ -69,8 +69,8 @@
     /// before the list tells anything, and also where it never does.
     pub(super) fn compare(&mut self, now: u64, dead: &[(u32, u64)]) {
         for (exchange, since) in dead {
-            let takes_work = |((of, _), (listing, _)): (&(u32, String), &(Listing, u64))| {
-                of == exchange && *listing == Listing::Ready
+            let takes_work = |((of, _), (listing, _)): (&(u32, String), &(ListedReadiness, u64))| {
+                of == exchange && *listing == ListedReadiness::Ready
             };
             let listed = self.known.iter().any(takes_work);
             if listed && now >= since + LATE_US && !self.contradicted.contains_key(exchange) {
@@ -115,7 +115,7 @@
         }
     }
 
-    fn lags(&mut self, from: u64, to: u64, late: u64, name: &str, listing: Listing) {
+    fn lags(&mut self, from: u64, to: u64, late: u64, name: &str, listing: ListedReadiness) {
         if let Some(last) = self.incidents.last_mut()
             && last.end_us.is_none_or(|end| from < end + SAME_US)
         {
@@ -126,7 +126,7 @@
             }
             return;
         }
-        let what = if listing == Listing::Gone { "was gone" } else { "had started" };
+        let what = if listing == ListedReadiness::Removed { "was gone" } else { "had started" };
         self.incidents.push(Incident {
             kind: Kind::ListLag,
             exchange: None,
--- a/crates/report/src/incident/mod.rs
+++ b/crates/report/src/incident/mod.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 use swiftlb_record::merge::{Told, What};
-use swiftlb_record::{Drainer, Event};
+use swiftlb_record::{DrainSource, Event};
 
 use cost::Ledger;
 use episode::Episode;
@@ -221,12 +221,12 @@
     fn see_event(&mut self, at: u64, who: usize, event: &Event) {
         let spent = self.ledger.see(at, who, event);
         match event {
-            Event::Started { version, inherited, .. } => {
+            Event::Started { version, is_replacement, .. } => {
                 self.running[who] = true;
                 if let Some(since) = self.ended.remove(&who) {
                     self.crashed(who, since, Some(at));
                 }
-                let how = if *inherited { "in the place of a running process" } else { "from nothing" };
+                let how = if *is_replacement { "in the place of a running process" } else { "from nothing" };
                 self.line(at, Some(who), "softswitch-started", None, format!("version {version}, {how}"));
             }
             Event::Stopping => {
@@ -236,11 +236,11 @@
                 self.line(at, Some(who), "softswitch-stopped", None, "ended in good order".to_owned())
             }
             Event::Drain { on, by } => {
-                let by = if *by == Drainer::Operator { "an operator" } else { "the platform" };
+                let by = if *by == DrainSource::Operator { "an operator" } else { "the platform" };
                 let kind = if *on { "drain-begins" } else { "drain-ends" };
                 self.line(at, Some(who), kind, None, format!("ordered by {by}"));
             }
-            Event::Lost { records } => {
+            Event::RecordsLost { records } => {
                 self.line(
                     at,
                     Some(who),
@@ -249,31 +249,31 @@
                     format!("{records} records came too fast to be kept"),
                 );
             }
-            Event::Level { exchange, avoided } => {
+            Event::Avoidance { exchange, avoided } => {
                 let kind = if *avoided { "avoided" } else { "used-again" };
                 let home = self.homes[who]
                     .map_or(String::new(), |home| format!(" by the softswitch of node {home}"));
                 self.line(at, Some(who), kind, Some(*exchange), format!("node {exchange} is {kind}{home}"));
             }
-            Event::Exchange { exchange, name, listing, born_us, .. } => {
-                let (exchange, listing) = (*exchange, *listing);
+            Event::Exchange { exchange, name, readiness, started_us, .. } => {
+                let (exchange, readiness) = (*exchange, *readiness);
                 let evidence = self.node(exchange).last_death();
-                if let Some(line) = self.list.told(at, (exchange, name), listing, *born_us, evidence) {
+                if let Some(line) = self.list.told(at, (exchange, name), readiness, *started_us, evidence) {
                     self.line(at, Some(who), line.0, Some(exchange), line.1);
                 }
-                self.node(exchange).listed(at, name, listing, *born_us);
+                self.node(exchange).listed(at, name, readiness, *started_us);
             }
-            Event::Way { exchange, change } => {
+            Event::ExchangeConnection { exchange, change } => {
                 let observers = self.running.iter().filter(|runs| **runs).count();
                 self.node(*exchange).way(at, who, *change, observers);
             }
             Event::Attempt { exchange, .. } => {
                 self.node(*exchange).sent(at, spent.key);
             }
-            Event::AttemptEnd { exchange, outcome, .. } => {
+            Event::AttemptEnded { exchange, outcome, .. } => {
                 self.node(*exchange).ended(at, spent.key, *outcome);
             }
-            Event::Answer { exchange, .. } => {
+            Event::Answered { exchange, .. } => {
                 if let Some(dest) = spent.dest {
                     self.service.fared(at, dest, Fared::Served);
                 }
@@ -282,10 +282,10 @@
             Event::Released { exchange: Some(exchange), cut: true, .. } => {
                 self.node(*exchange).forget(spent.key);
             }
-            Event::Refused { .. } | Event::Failed { .. } | Event::GivenUp { .. } => {
+            Event::Refused { .. } | Event::Failed { .. } | Event::Abandoned { .. } => {
                 if let Some(dest) = spent.dest {
                     let how = match event {
-                        Event::Refused { why, .. } => Fared::refused(*why),
+                        Event::Refused { reason, .. } => Fared::refused(*reason),
                         _ => Fared::Other,
                     };
                     self.service.fared(at, dest, how);
--- a/crates/report/src/incident/node.rs
+++ b/crates/report/src/incident/node.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-use swiftlb_record::{AttemptOutcome, Listing, WayChange};
+use swiftlb_record::{AttemptOutcome, ConnectionChange, ListedReadiness};
 
 use super::{Cost, Incident, Kind};
 
@@ -156,19 +156,19 @@
         self.open.as_ref().is_some_and(|open| open.kind == kind)
     }
 
-    pub(super) fn way(&mut self, at: u64, who: usize, change: WayChange, observers: usize) {
+    pub(super) fn way(&mut self, at: u64, who: usize, change: ConnectionChange, observers: usize) {
         match change {
-            WayChange::Up => {
+            ConnectionChange::Up => {
                 self.down.remove(&who);
                 if self.is(Kind::Died) {
                     self.end(at);
                     self.started(at);
                 }
             }
-            WayChange::Lost | WayChange::TimedOut => {
+            ConnectionChange::Lost | ConnectionChange::TimedOut => {
                 self.down.entry(who).or_insert((at, None));
             }
-            WayChange::Refused => {
+            ConnectionChange::Refused => {
                 self.down.entry(who).or_insert((at, None)).1 = Some(at);
                 let refused =
                     self.down.values().filter(|(_, refused)| refused.is_some_and(|r| r + TOGETHER_US >= at));
@@ -193,19 +193,19 @@
         self.heard_us = at;
     }
 
-    pub(super) fn listed(&mut self, at: u64, name: &str, listing: Listing, born_us: u64) {
+    pub(super) fn listed(&mut self, at: u64, name: &str, listing: ListedReadiness, started_us: u64) {
         // While the list has it no more nobody looks whether it is back; once the list does, it says since when.
-        if listing == Listing::Ready
-            && self.open.as_ref().is_some_and(|open| open.kind == Kind::Died && born_us > open.begin_us)
+        if listing == ListedReadiness::Ready
+            && self.open.as_ref().is_some_and(|open| open.kind == Kind::Died && started_us > open.begin_us)
         {
-            self.end(born_us.min(at));
-            self.started(born_us.min(at));
+            self.end(started_us.min(at));
+            self.started(started_us.min(at));
         }
         match listing {
-            Listing::Draining => {
+            ListedReadiness::Draining => {
                 self.draining_since.get_or_insert(at);
             }
-            Listing::Ready if !self.name.is_empty() && self.name != name => {
+            ListedReadiness::Ready if !self.name.is_empty() && self.name != name => {
                 let begin = self.draining_since.take().unwrap_or(at);
                 if self.is(Kind::Died) {
                     self.end(at);
@@ -220,11 +220,11 @@
                 }
                 name.clone_into(&mut self.name);
             }
-            Listing::Ready => {
+            ListedReadiness::Ready => {
                 self.draining_since = None;
                 name.clone_into(&mut self.name);
             }
-            Listing::Gone => {}
+            ListedReadiness::Removed => {}
         }
     }
 
@@ -239,7 +239,7 @@
     pub(super) fn ended(&mut self, at: u64, key: Key, outcome: AttemptOutcome) {
         self.out.remove(&key);
         // What the softswitch decided itself says nothing of the node.
-        if matches!(outcome, AttemptOutcome::Busy | AttemptOutcome::Full) {
+        if matches!(outcome, AttemptOutcome::Busy | AttemptOutcome::Congested) {
             self.hear(at);
         }
     }
--- a/crates/report/src/incident/service.rs
+++ b/crates/report/src/incident/service.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use swiftlb_record::{AttemptOutcome, Cause, RefusedWhy};
+use swiftlb_record::{AttemptOutcome, AttemptReason, RefusalReason};
 
 use super::{Cost, Incident, Kind};
 
@@ -36,17 +36,24 @@
 
 impl Fared {
     /// What a refusal says of load.
-    pub(super) fn refused(why: RefusedWhy) -> Self {
+    pub(super) fn refused(why: RefusalReason) -> Self {
         match why {
-            RefusedWhy::NoCircuit | RefusedWhy::After(_, Cause::NoCircuit | Cause::TurnedBack) => {
+            RefusalReason::NoCircuit
+            | RefusalReason::AfterAttempt(_, AttemptReason::NoCircuit | AttemptReason::CrankBack) => {
                 Self::NoCircuit
             }
-            RefusedWhy::Shed | RefusedWhy::After(_, Cause::ProcessorFull(_) | Cause::FullBeyond) => {
-                Self::Shed
-            }
+            RefusalReason::Shed
+            | RefusalReason::AfterAttempt(
+                _,
+                AttemptReason::ProcessorFull(_) | AttemptReason::DestinationFull,
+            ) => Self::Shed,
             // Without a word on why, an attempt that found no room was one too many for the group.
-            RefusedWhy::After(AttemptOutcome::Full, Cause::None) => Self::NoCircuit,
-            RefusedWhy::TooMany | RefusedWhy::SentAway | RefusedWhy::After(..) => Self::Other,
+            RefusalReason::AfterAttempt(AttemptOutcome::Congested, AttemptReason::Unspecified) => {
+                Self::NoCircuit
+            }
+            RefusalReason::TooManySetUps | RefusalReason::Draining | RefusalReason::AfterAttempt(..) => {
+                Self::Other
+            }
         }
     }
 }
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -14,7 +14,7 @@
 
 use hdrhistogram::Histogram;
 use swiftlb_record::merge::{Merge, Told, What};
-use swiftlb_record::{Archive, AttemptOutcome, Cause, Event, FailedWhy, RefusedWhy};
+use swiftlb_record::{Archive, AttemptOutcome, AttemptReason, Event, FailureReason, RefusalReason};
 use tinyjson::JsonValue;
 
 use incident::{Course, Detector};
@@ -95,14 +95,14 @@
 }
 
 /// A cause as one word.
-fn cause(cause: Cause) -> &'static str {
+fn cause(cause: AttemptReason) -> &'static str {
     match cause {
-        Cause::None => "nothing said",
-        Cause::NoCircuit => "group full",
-        Cause::TurnedBack => "turned back",
-        Cause::FullBeyond => "full beyond",
-        Cause::ProcessorFull(_) => "processor full",
-        Cause::LinesBusy => "lines busy",
+        AttemptReason::Unspecified => "nothing said",
+        AttemptReason::NoCircuit => "group full",
+        AttemptReason::CrankBack => "turned back",
+        AttemptReason::DestinationFull => "full beyond",
+        AttemptReason::ProcessorFull(_) => "processor full",
+        AttemptReason::UserBusy => "lines busy",
     }
 }
 
@@ -110,40 +110,40 @@
 pub(crate) fn outcome(outcome: AttemptOutcome) -> &'static str {
     match outcome {
         AttemptOutcome::Busy => "busy",
-        AttemptOutcome::Full => "no room",
+        AttemptOutcome::Congested => "no room",
         AttemptOutcome::TimedOut => "no answer in time",
         AttemptOutcome::NoConnection => "no connection",
         AttemptOutcome::Reset => "reset",
         AttemptOutcome::Cancelled => "called off",
-        AttemptOutcome::Moot => "never left",
+        AttemptOutcome::NotSent => "never left",
         AttemptOutcome::AnswerLost => "answer lost",
     }
 }
 
-fn after(how: AttemptOutcome, why: Cause) -> String {
+fn after(how: AttemptOutcome, why: AttemptReason) -> String {
     match why {
-        Cause::None => format!("after an attempt: {}", outcome(how)),
+        AttemptReason::Unspecified => format!("after an attempt: {}", outcome(how)),
         why => format!("after an attempt: {}", cause(why)),
     }
 }
 
-fn refused(why: RefusedWhy) -> String {
+fn refused(why: RefusalReason) -> String {
     match why {
-        RefusedWhy::NoCircuit => "refused: no circuit free".to_owned(),
-        RefusedWhy::Shed => "refused: shed before any attempt".to_owned(),
-        RefusedWhy::TooMany => "refused: too many open".to_owned(),
-        RefusedWhy::SentAway => "refused: being emptied".to_owned(),
-        RefusedWhy::After(how, why) => format!("refused {}", after(how, why)),
+        RefusalReason::NoCircuit => "refused: no circuit free".to_owned(),
+        RefusalReason::Shed => "refused: shed before any attempt".to_owned(),
+        RefusalReason::TooManySetUps => "refused: too many open".to_owned(),
+        RefusalReason::Draining => "refused: being emptied".to_owned(),
+        RefusalReason::AfterAttempt(how, why) => format!("refused {}", after(how, why)),
     }
 }
 
-fn failed(why: FailedWhy) -> String {
+fn failed(why: FailureReason) -> String {
     match why {
-        FailedWhy::Busy => "failed: lines busy".to_owned(),
-        FailedWhy::NoRoute => "failed before any attempt".to_owned(),
-        FailedWhy::After(how, why) => format!("failed {}", after(how, why)),
-        FailedWhy::Overdue => "failed: no decision in time".to_owned(),
-        FailedWhy::Spoilt => "failed: its connection was unreadable".to_owned(),
+        FailureReason::Busy => "failed: lines busy".to_owned(),
+        FailureReason::NoRoute => "failed before any attempt".to_owned(),
+        FailureReason::AfterAttempt(how, why) => format!("failed {}", after(how, why)),
+        FailureReason::DecisionOverdue => "failed: no decision in time".to_owned(),
+        FailureReason::CallerStreamCorrupt => "failed: its connection was unreadable".to_owned(),
     }
 }
 
@@ -233,35 +233,35 @@
                 self.series.class(at, place, own, |bucket| &mut bucket.offered);
             }
             (Event::Attempt { .. }, _) => self.attempts += 1,
-            (Event::AttemptEnd { outcome, cause: why, .. }, _) => {
+            (Event::AttemptEnded { outcome, reason: why, .. }, _) => {
                 *self.attempt_ends.entry((*outcome, cause(*why))).or_default() += 1;
             }
-            (Event::Answer { took_us, .. }, Some(key)) => {
+            (Event::Answered { elapsed_us, .. }, Some(key)) => {
                 if let Some((place, own)) = calls.open.remove(&key) {
                     calls.standing.insert(key, (place, own));
                     let class = &mut self.classes[place];
                     if own {
                         class.answered += 1;
-                        class.took.saturating_record((*took_us).max(1));
+                        class.took.saturating_record((*elapsed_us).max(1));
                     }
                     self.series.class(at, place, own, |bucket| &mut bucket.answered);
                 }
             }
-            (Event::Refused { why, .. }, Some(key)) => {
-                *self.refusals.entry(refused(*why)).or_default() += 1;
+            (Event::Refused { reason, .. }, Some(key)) => {
+                *self.refusals.entry(refused(*reason)).or_default() += 1;
                 if let Some((place, own)) = calls.open.remove(&key) {
                     self.classes[place].refused += u64::from(own);
                     self.series.class(at, place, own, |bucket| &mut bucket.refused);
                 }
             }
-            (Event::Failed { why, .. }, Some(key)) => {
-                *self.refusals.entry(failed(*why)).or_default() += 1;
+            (Event::Failed { reason, .. }, Some(key)) => {
+                *self.refusals.entry(failed(*reason)).or_default() += 1;
                 if let Some((place, own)) = calls.open.remove(&key) {
                     self.classes[place].failed += u64::from(own);
                     self.series.class(at, place, own, |bucket| &mut bucket.failed);
                 }
             }
-            (Event::GivenUp { .. }, Some(key)) => {
+            (Event::Abandoned { .. }, Some(key)) => {
                 if let Some((place, own)) = calls.open.remove(&key) {
                     self.classes[place].given_up += u64::from(own);
                     self.series.class(at, place, own, |bucket| &mut bucket.failed);
--- a/crates/report/src/series.rs
+++ b/crates/report/src/series.rs
@@ -139,9 +139,13 @@
     /// Takes what an event says of a node.
     pub(crate) fn see(&mut self, at: u64, who: usize, event: &Event) {
         match event {
-            Event::Delay { exchange, expected_ms, out } => {
-                self.out.insert((*exchange, who), *out);
-                let all = self.out.range((*exchange, 0)..=(*exchange, usize::MAX)).map(|(_, out)| out).sum();
+            Event::ExpectedDelay { exchange, expected_ms, open_attempts } => {
+                self.out.insert((*exchange, who), *open_attempts);
+                let all = self
+                    .out
+                    .range((*exchange, 0)..=(*exchange, usize::MAX))
+                    .map(|(_, open_attempts)| open_attempts)
+                    .sum();
                 let node = self.node(at, *exchange);
                 node.expected_ms = node.expected_ms.max(*expected_ms);
                 node.out = node.out.max(all);
--- a/crates/report/tests/service.rs
+++ b/crates/report/tests/service.rs
@@ -1,7 +1,7 @@
 //! Load and its consequences: circuits that run out, calls that are shed, and what came of what.
 
 use swiftlb_record::merge::{Told, What};
-use swiftlb_record::{Call, Event, Front, Listing, RefusedWhy, WayChange};
+use swiftlb_record::{CallUid, ConnectionChange, Event, Front, ListedReadiness, RefusalReason};
 use swiftlb_report::incident::episode::{group, link};
 use swiftlb_report::incident::{Cost, Course, Detector, Incident, Kind};
 
@@ -20,7 +20,7 @@
             feed.tell(
                 0,
                 who,
-                Event::Started { version: "0".to_owned(), home: Some(who as u32), inherited: false },
+                Event::Started { version: "0".to_owned(), home: Some(who as u32), is_replacement: false },
             );
         }
         feed
@@ -32,25 +32,33 @@
     }
 
     /// A call to node 3 that stands, or is refused for this reason.
-    fn call(&mut self, ms: u64, refused: Option<RefusedWhy>) {
+    fn call(&mut self, ms: u64, refused: Option<RefusalReason>) {
         self.calls += 1;
-        let (call, front) = (Call(self.calls), Front::Platform);
+        let (call, front) = (CallUid(self.calls), Front::JsonLines);
         self.tell(
             ms,
             0,
-            Event::SetUp { call, class: 0, dest: 3, transit_from: None, left_ms: 1, again: false, front },
+            Event::SetUp {
+                call,
+                class: 0,
+                dest: 3,
+                transit_from: None,
+                remaining_ms: 1,
+                was_cut: false,
+                front,
+            },
         );
         match refused {
-            Some(why) => self.tell(ms, 0, Event::Refused { call, why, wait_ms: 0 }),
+            Some(reason) => self.tell(ms, 0, Event::Refused { call, reason, retry_after_ms: 0 }),
             None => {
-                self.tell(ms, 0, Event::Attempt { call, attempt: 1, exchange: 3, waits: false });
-                self.tell(ms, 0, Event::Answer { call, exchange: 3, took_us: 1 });
+                self.tell(ms, 0, Event::Attempt { call, attempt: 1, exchange: 3, awaits_connection: false });
+                self.tell(ms, 0, Event::Answered { call, exchange: 3, elapsed_us: 1 });
             }
         }
     }
 
     /// Ten calls a second for so long, of which so many in a hundred are refused.
-    fn load(&mut self, seconds: std::ops::Range<u64>, percent: impl Fn(u64) -> u64, why: RefusedWhy) {
+    fn load(&mut self, seconds: std::ops::Range<u64>, percent: impl Fn(u64) -> u64, why: RefusalReason) {
         for second in seconds {
             for n in 0..10 {
                 let refused = (n * 10) < percent(second);
@@ -75,7 +83,7 @@
 #[test]
 fn circuits_that_run_out_are_told_with_their_beginning_and_end() {
     let mut feed = Feed::new();
-    feed.load(0..60, |second| if (20..35).contains(&second) { 50 } else { 0 }, RefusedWhy::NoCircuit);
+    feed.load(0..60, |second| if (20..35).contains(&second) { 50 } else { 0 }, RefusalReason::NoCircuit);
     let course = feed.finish();
     assert_eq!(course.incidents.len(), 1, "{:#?}", course.incidents);
     let blocked = of(&course, Kind::Blocked)[0];
@@ -93,7 +101,7 @@
 fn load_that_hovers_round_the_level_is_one_incident() {
     let mut feed = Feed::new();
     // 40% and nothing in turns of 6 s: past the level to enter, then under that to leave for long enough.
-    feed.load(0..120, |second| if second / 6 % 2 == 1 && second < 100 { 40 } else { 0 }, RefusedWhy::Shed);
+    feed.load(0..120, |second| if second / 6 % 2 == 1 && second < 100 { 40 } else { 0 }, RefusalReason::Shed);
     let course = feed.finish();
     let shed = of(&course, Kind::Shed);
     assert_eq!((shed.len(), course.incidents.len()), (1, 1), "{:#?}", course.incidents);
@@ -104,12 +112,16 @@
 fn a_little_or_a_few_or_for_a_moment_is_no_incident() {
     for (percent, seconds) in [(20, 20..60), (60, 20..21)] {
         let mut feed = Feed::new();
-        feed.load(0..80, |second| if seconds.contains(&second) { percent } else { 0 }, RefusedWhy::NoCircuit);
+        feed.load(
+            0..80,
+            |second| if seconds.contains(&second) { percent } else { 0 },
+            RefusalReason::NoCircuit,
+        );
         assert_eq!(feed.finish().incidents, [], "{percent}%");
     }
     let mut feed = Feed::new();
     for n in 0..20 {
-        feed.call(n * 2_000, Some(RefusedWhy::NoCircuit));
+        feed.call(n * 2_000, Some(RefusalReason::NoCircuit));
     }
     assert_eq!(feed.finish().incidents, [], "one call in two seconds");
 }
@@ -117,14 +129,14 @@
 #[test]
 fn what_a_dead_node_explains_is_no_trouble_of_its_own() {
     let mut feed = Feed::new();
-    feed.load(0..20, |_| 0, RefusedWhy::Shed);
+    feed.load(0..20, |_| 0, RefusalReason::Shed);
     for who in 0..2 {
-        feed.tell(20_000, who, Event::Way { exchange: 3, change: WayChange::Lost });
-        feed.tell(20_010, who, Event::Way { exchange: 3, change: WayChange::Refused });
+        feed.tell(20_000, who, Event::ExchangeConnection { exchange: 3, change: ConnectionChange::Lost });
+        feed.tell(20_010, who, Event::ExchangeConnection { exchange: 3, change: ConnectionChange::Refused });
     }
-    feed.load(21..30, |_| 90, RefusedWhy::Shed);
-    feed.tell(30_000, 0, Event::Way { exchange: 3, change: WayChange::Up });
-    feed.load(30..40, |_| 50, RefusedWhy::Shed);
+    feed.load(21..30, |_| 90, RefusalReason::Shed);
+    feed.tell(30_000, 0, Event::ExchangeConnection { exchange: 3, change: ConnectionChange::Up });
+    feed.load(30..40, |_| 50, RefusalReason::Shed);
     let course = feed.finish();
     assert_eq!(course.incidents.len(), 1, "{:#?}", course.incidents);
     assert_eq!((course.incidents[0].kind, course.incidents[0].exchange), (Kind::Died, Some(3)));
@@ -177,29 +189,33 @@
 
 #[test]
 fn a_list_that_lags_shows_before_it_tells_and_where_it_never_does() {
-    let listed = |feed: &mut Feed, ms, listing, born_us| {
+    let listed = |feed: &mut Feed, ms, readiness, started_us| {
         for who in 0..2 {
             let name = "s-3".to_owned();
-            feed.tell(ms, who, Event::Exchange { exchange: 3, name, zone: 0, listing, born_us });
+            feed.tell(ms, who, Event::Exchange { exchange: 3, name, zone: 0, readiness, started_us });
         }
     };
     let down = |feed: &mut Feed, ms| {
         for who in 0..2 {
-            feed.tell(ms, who, Event::Way { exchange: 3, change: WayChange::Lost });
-            feed.tell(ms + 10, who, Event::Way { exchange: 3, change: WayChange::Refused });
+            feed.tell(ms, who, Event::ExchangeConnection { exchange: 3, change: ConnectionChange::Lost });
+            feed.tell(
+                ms + 10,
+                who,
+                Event::ExchangeConnection { exchange: 3, change: ConnectionChange::Refused },
+            );
         }
     };
     let quiet = |feed: &mut Feed, seconds: std::ops::Range<u64>| {
         for second in seconds {
-            feed.tell(second * 1_000, 0, Event::Links { open: 1 });
+            feed.tell(second * 1_000, 0, Event::CallerConnections { open: 1 });
         }
     };
     // It dies at 20 s and is back at 30 s; the list says nothing of either.
     let mut feed = Feed::new();
-    listed(&mut feed, 1, Listing::Ready, 0);
+    listed(&mut feed, 1, ListedReadiness::Ready, 0);
     down(&mut feed, 20_000);
     quiet(&mut feed, 21..30);
-    feed.tell(30_000, 0, Event::Way { exchange: 3, change: WayChange::Up });
+    feed.tell(30_000, 0, Event::ExchangeConnection { exchange: 3, change: ConnectionChange::Up });
     quiet(&mut feed, 31..60);
     let course = feed.finish();
     let lag = of(&course, Kind::ListLag);
@@ -208,12 +224,12 @@
     assert!((30.0..32.0).contains(&end), "{end}");
     // The list tells of the death 8 s late and of the start 7 s late: one lag, from the death until it caught up.
     let mut feed = Feed::new();
-    listed(&mut feed, 1, Listing::Ready, 0);
+    listed(&mut feed, 1, ListedReadiness::Ready, 0);
     down(&mut feed, 20_000);
     quiet(&mut feed, 21..28);
-    listed(&mut feed, 28_000, Listing::Gone, 0);
+    listed(&mut feed, 28_000, ListedReadiness::Removed, 0);
     quiet(&mut feed, 29..37);
-    listed(&mut feed, 37_000, Listing::Ready, START + 30_000_000);
+    listed(&mut feed, 37_000, ListedReadiness::Ready, START + 30_000_000);
     quiet(&mut feed, 38..60);
     let course = feed.finish();
     let lag = of(&course, Kind::ListLag);
@@ -227,10 +243,10 @@
     );
     // One that is told in time is none.
     let mut feed = Feed::new();
-    listed(&mut feed, 1, Listing::Ready, 0);
+    listed(&mut feed, 1, ListedReadiness::Ready, 0);
     down(&mut feed, 20_000);
     quiet(&mut feed, 21..23);
-    listed(&mut feed, 23_000, Listing::Gone, 0);
+    listed(&mut feed, 23_000, ListedReadiness::Removed, 0);
     quiet(&mut feed, 24..60);
     assert_eq!(of(&feed.finish(), Kind::ListLag).len(), 0);
 }
--- a/examples/toy/main.rs
+++ b/examples/toy/main.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use swiftlb::config::parse_json;
-use swiftlb::engine::CallName;
+use swiftlb::engine::CallUid;
 use swiftlb::net::jsonl::write_setup;
 use tinyjson::JsonValue;
 
@@ -95,7 +95,7 @@
 /// One call through the softswitch, from set-up to release.
 fn call(dest: u32) -> Result<(), Box<dyn Error>> {
     let mut stream = TcpStream::connect(SWITCH)?;
-    let id = CallName::from_u64(u64::from(std::process::id()) << 8 | u64::from(dest));
+    let id = CallUid::from_u64(u64::from(std::process::id()) << 8 | u64::from(dest));
     let setup = write_setup(id, "unit-status", Duration::from_secs(3), "7f3a9c21e0b4d655", dest);
     println!("caller says {setup}");
     stream.write_all(format!("{setup}\n").as_bytes())?;
--- a/src/config.rs
+++ b/src/config.rs
@@ -8,8 +8,8 @@
 use thiserror::Error;
 use tinyjson::JsonValue;
 
-use crate::engine::{Entry, span};
-use crate::interface::{Class, FarReports, Readiness, ReportField, Settings, Tenant};
+use crate::engine::{ListEntry, span};
+use crate::interface::{Class, LoadReportMode, Readiness, ReportField, Settings, Tenant};
 
 /// What is wrong with a configuration.
 #[derive(Debug, Error)]
@@ -57,7 +57,7 @@
     /// Number of the last event that the list of the start holds.
     pub serial: u32,
     /// The exchanges of the start.
-    pub known: Vec<Entry>,
+    pub known: Vec<ListEntry>,
     /// What the decisions are told.
     pub settings: Settings,
     /// Names of the classes, in the order of `settings.classes`, and how long a caller of each waits at most.
@@ -221,7 +221,7 @@
     let home = facts.number("homeOffice")?;
     let max_retry_after_ms = limits.size("maxRetryAfterMs")?;
     Ok(Settings {
-        agents: (s.size("balancers")? as u32).max(1),
+        agent_count: (s.size("balancers")? as u32).max(1),
         self_index: s.size("selfIndex")? as u32,
         home: (!pools && home >= 0.0).then_some(home as u32),
         classes: read_classes(s, &facts, pools)?,
@@ -231,26 +231,36 @@
             .iter()
             .map(|t| Ok(Tenant { quota_per_s: t.size("quotaRps")? }))
             .collect::<Result<_, ConfigError>>()?,
-        over_share_worth: s.size("overShareWorth")?,
-        must_ask: s.choice("discovery", &[("push", false), ("ask", true)])?,
-        ask_every_ms: rules.size("askEveryMs")?,
-        report: s.get("report")?.get("fields")?.texts()?.iter().map(|name| report_field(name)).collect(),
-        far_reports: facts.choice(
+        over_quota_worth_factor: s.size("overShareWorth")?,
+        must_fetch_list: s.choice("discovery", &[("push", false), ("ask", true)])?,
+        list_fetch_interval_ms: rules.size("askEveryMs")?,
+        report_fields: s
+            .get("report")?
+            .get("fields")?
+            .texts()?
+            .iter()
+            .map(|name| report_field(name))
+            .collect(),
+        load_report_mode: facts.choice(
             "farState",
-            &[("inline", FarReports::Inline), ("on_probe", FarReports::OnProbe), ("off", FarReports::Off)],
+            &[
+                ("inline", LoadReportMode::Inline),
+                ("on_probe", LoadReportMode::OnProbe),
+                ("off", LoadReportMode::Off),
+            ],
         )?,
-        try_limit: limits.size("tryLimit")? as u32,
+        attempt_limit: limits.size("tryLimit")? as u32,
         may_cancel: limits.flag("cancelling")?,
         may_probe: limits.flag("probes")?,
-        may_tell: limits.flag("mayTell")?,
+        may_message_peers: limits.flag("mayTell")?,
         max_retry_after_ms: if limits.flag("retryAfter")? { max_retry_after_ms } else { 0.0 },
         drain_grace_ms: rules.size("stopSendingWithinMs")?,
-        release_ms: facts.size("releaseMs")?,
-        cold_from: rules.size("coldFrom")?,
-        cold_ms: rules.size("coldMs")?,
-        fall_multiple: rules.size("fallMultiple")?,
-        fall_ms: rules.size("tipAfterMs")?,
-        resend_ms: facts.size("resendMs")?,
+        release_pause_ms: facts.size("releaseMs")?,
+        cold_initial_capacity: rules.size("coldFrom")?,
+        cold_period_ms: rules.size("coldMs")?,
+        overload_factor: rules.size("fallMultiple")?,
+        overload_duration_ms: rules.size("tipAfterMs")?,
+        retransmit_ms: facts.size("resendMs")?,
         tick_ms: s.size("tickMs")?,
     })
 }
@@ -268,12 +278,12 @@
         .enumerate()
         .map(|(i, class)| {
             Ok(Class {
-                aim_ms: class.size("aimMs")?,
+                target_setup_ms: class.size("aimMs")?,
                 worth: class.size("worth")?,
-                late_share: class.size("lateShare")?,
+                late_worth_factor: class.size("lateShare")?,
                 width: of(&widths, i, "channelsNeeded")?,
-                hold_ms: of(&holds, i, "classHoldMs")?,
-                repeatable: class
+                mean_hold_ms: of(&holds, i, "classHoldMs")?,
+                idempotent: class
                     .choice("semantics", &[("pure", true), ("token", false), ("side_effect", false)])?,
                 pools: match cells.get(i) {
                     Some(cells) if pools => cells.numbers()?.into_iter().map(|n| n as u32).collect(),
@@ -287,14 +297,14 @@
 /// The value of a load report that goes by this name.
 pub(crate) fn report_field(name: &str) -> ReportField {
     match name {
-        "spare" => ReportField::Free,
-        "total" => ReportField::Total,
-        "svc_ms" => ReportField::Wait,
-        "allowed" => ReportField::Allowed,
-        "busy_reqs" => ReportField::Busy,
-        "pending" => ReportField::Queue,
-        "cpu_share" => ReportField::Load,
-        "cut_by" => ReportField::HoldBack,
+        "spare" => ReportField::FreeCircuits,
+        "total" => ReportField::TotalCircuits,
+        "svc_ms" => ReportField::WaitMs,
+        "allowed" => ReportField::AllowedRate,
+        "busy_reqs" => ReportField::ActiveMessages,
+        "pending" => ReportField::QueuedMessages,
+        "cpu_share" => ReportField::Utilization,
+        "cut_by" => ReportField::RequestedReduction,
         _ => ReportField::Unknown,
     }
 }
@@ -305,8 +315,8 @@
 }
 
 /// Plays the events of the start in order: the first holds the whole list, later ones what has changed.
-fn read_known(known: &Node<'_>, zones: &[String]) -> Result<Vec<Entry>, ConfigError> {
-    let mut entries: Vec<Entry> = Vec::new();
+fn read_known(known: &Node<'_>, zones: &[String]) -> Result<Vec<ListEntry>, ConfigError> {
+    let mut entries: Vec<ListEntry> = Vec::new();
     for event in known.get("events")?.items()? {
         let members = event.get("members")?;
         if members.flag("complete")? {
@@ -315,7 +325,7 @@
         for member in members.get("members")?.items()? {
             let entry = read_member(&member, zones)?;
             entries.retain(|e| e.name != entry.name);
-            if entry.readiness != Readiness::Gone {
+            if entry.readiness != Readiness::Removed {
                 entries.push(entry);
             }
         }
@@ -323,19 +333,19 @@
     Ok(entries)
 }
 
-fn read_member(member: &Node<'_>, zones: &[String]) -> Result<Entry, ConfigError> {
+fn read_member(member: &Node<'_>, zones: &[String]) -> Result<ListEntry, ConfigError> {
     let states = [
         ("in_service", Readiness::Ready),
         ("terminating", Readiness::Draining),
-        ("terminated", Readiness::Gone),
+        ("terminated", Readiness::Removed),
     ];
     let born = member.size("up_since_ms")?;
-    Ok(Entry {
+    Ok(ListEntry {
         name: member.text("id")?.into(),
         address: member.text("host_port")?.parse()?,
         number: member.size("cell")? as u32,
         zone: zone_index(zones, &member.text("locality")?),
-        born: (born > 0.0).then(|| std::time::UNIX_EPOCH + span(born)),
+        started_at: (born > 0.0).then(|| std::time::UNIX_EPOCH + span(born)),
         readiness: member.choice("phase", &states)?,
     })
 }
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -13,8 +13,8 @@
 use thiserror::Error;
 
 use crate::interface::{
-    Action, CallId, Class, Event, ExchangeId, ListKind, Listed, NewCall, Number, Outcome, Readiness, Reason,
-    Report, ReportField, Settings,
+    Action, CallId, Class, Event, ExchangeId, ListUpdateKind, ListedExchange, LoadReport, NewCall, Number,
+    Outcome, Readiness, Reason, ReportField, Settings,
 };
 
 /// Tandems sampled at random for a call that cannot go direct (the design's d).
@@ -283,10 +283,10 @@
         match event {
             Event::List { kind, entries } => self.learn_list(kind, &entries),
             Event::Call(call) => self.take(call, actions),
-            Event::Stands { call, attempt, exchange, took_ms } => {
-                self.settle(call, exchange, took_ms, true);
-                if let Some(there) = self.exchanges.get_mut(&exchange).filter(|_| took_ms > 0.0) {
-                    there.floor = there.floor.min(took_ms);
+            Event::Answered { call, attempt, exchange, elapsed_ms } => {
+                self.settle(call, exchange, elapsed_ms, true);
+                if let Some(there) = self.exchanges.get_mut(&exchange).filter(|_| elapsed_ms > 0.0) {
+                    there.floor = there.floor.min(elapsed_ms);
                 }
                 if let Some(held) = self.calls.get_mut(&call).filter(|held| held.attempts == attempt + 1) {
                     held.phase = Phase::Standing;
@@ -297,29 +297,38 @@
                     }
                 }
             }
-            Event::Outcome { call, attempt, exchange, outcome, reason, took_ms, closed, report } => {
+            Event::AttemptEnded {
+                call,
+                attempt,
+                exchange,
+                outcome,
+                reason,
+                elapsed_ms,
+                call_closed,
+                report,
+            } => {
                 self.learn_report(exchange, report.as_ref());
                 if self.calls.get(&call).is_none_or(|held| held.attempts == attempt + 1) {
-                    self.resolve(call, exchange, outcome, reason, took_ms, closed, actions);
+                    self.resolve(call, exchange, outcome, reason, elapsed_ms, call_closed, actions);
                 }
             }
-            Event::Left { call } => self.forget(call),
-            Event::Timer { tag: UPKEEP_TAG } => self.upkeep(actions),
-            Event::Timer { tag } => self.release(tag, actions),
-            Event::Probed { exchange, report, .. } => self.learn_report(exchange, report.as_ref()),
-            Event::Heard { bytes, .. } => self.learn_message(&bytes),
+            Event::Abandoned { call } => self.forget(call),
+            Event::TimerExpired { tag: UPKEEP_TAG } => self.upkeep(actions),
+            Event::TimerExpired { tag } => self.release(tag, actions),
+            Event::ProbeResult { exchange, report, .. } => self.learn_report(exchange, report.as_ref()),
+            Event::PeerMessage { bytes, .. } => self.learn_message(&bytes),
         }
     }
 
     // ---- calls: one state each, one place that ends them ----
 
     fn take(&mut self, new: NewCall, actions: &mut Vec<Action>) {
-        let left = if new.left_ms.is_finite() { new.left_ms.max(0.0) } else { 0.0 };
+        let left = if new.remaining_ms.is_finite() { new.remaining_ms.max(0.0) } else { 0.0 };
         let call = Call {
             class: new.class.min(self.set.classes.len() - 1),
             width: if new.width.is_finite() { new.width.max(0.0) } else { f64::MAX },
             dest: new.dest,
-            called: new.called,
+            called: new.called_number,
             deadline: self.now + left,
             transit: new.transit_from.is_some(),
             attempts: 0,
@@ -335,10 +344,10 @@
     fn decide(&mut self, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id) else { return };
         let time_left = call.deadline - self.now;
-        let retry_barred = call.may_have_run && !self.set.classes[call.class].repeatable;
+        let retry_barred = call.may_have_run && !self.set.classes[call.class].idempotent;
         if time_left < LEAST_LEFT_MS
             || self.crowded(call)
-            || call.attempts >= self.set.try_limit
+            || call.attempts >= self.set.attempt_limit
             || retry_barred
         {
             return self.end(id, actions);
@@ -355,8 +364,8 @@
         if call.may_have_run {
             actions.push(Action::Fail { call: id });
         } else {
-            let aim_ms = self.set.classes[call.class].aim_ms;
-            let redial_ms = if self.crowded(&call) { f64::MAX } else { REDIAL_AT * aim_ms };
+            let target_setup_ms = self.set.classes[call.class].target_setup_ms;
+            let redial_ms = if self.crowded(&call) { f64::MAX } else { REDIAL_AT * target_setup_ms };
             let retry_after_ms = redial_ms.min(self.set.max_retry_after_ms);
             actions.push(Action::Refuse { call: id, retry_after_ms });
         }
@@ -421,11 +430,11 @@
         closed: bool,
         actions: &mut Vec<Action>,
     ) {
-        let proven = matches!(outcome, Outcome::Full | Outcome::NoConnection | Outcome::Moot);
+        let proven = matches!(outcome, Outcome::Congested | Outcome::NoConnection | Outcome::NotSent);
         let never_stood = self.exchanges.get(&at).is_some_and(|e| e.out.contains_key(&id));
         // A connection that is refused takes no time at all, and one that breaks does so at any time: neither
         // says anything of a processor's delay.
-        if never_stood && !matches!(outcome, Outcome::Moot | Outcome::NoConnection | Outcome::Reset) {
+        if never_stood && !matches!(outcome, Outcome::NotSent | Outcome::NoConnection | Outcome::Reset) {
             self.settle(id, at, took, !matches!(outcome, Outcome::TimedOut | Outcome::Cancelled));
         } else if let Some(exchange) = self.exchanges.get_mut(&at) {
             exchange.out.remove(&id);
@@ -442,7 +451,7 @@
         call.phase = Phase::Waiting;
         call.may_have_run |= !proven;
         let (dest, called) = (call.dest, call.called);
-        if reason == Reason::TurnedBack {
+        if reason == Reason::CrankBack {
             if let Some(tandem) = self.exchanges.get_mut(&at) {
                 tandem.turned_back += 1.0;
             }
@@ -465,7 +474,7 @@
             exchange.free = Some(exchange.free.unwrap_or(0.0).clamp(0.0, call.width - 1.0));
         }
         if let (Reason::ProcessorFull(wait), Some(exchange)) = (reason, self.exchanges.get_mut(&at)) {
-            exchange.delay = exchange.delay.max(wait).max(2.0 * self.set.classes[call.class].aim_ms);
+            exchange.delay = exchange.delay.max(wait).max(2.0 * self.set.classes[call.class].target_setup_ms);
             exchange.delay_at = self.now;
         }
         // What breaks is mostly the way to an exchange: one that has died refuses the next attempt, and any
@@ -475,16 +484,16 @@
         }
         match outcome {
             Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => {
-                let until = self.now + self.set.release_ms;
+                let until = self.now + self.set.release_pause_ms;
                 // Transit has no second route: the exchange it came from has, and must hear at once.
                 if call.transit || until + LEAST_LEFT_MS > call.deadline {
                     return self.end(id, actions);
                 }
                 call.phase = Phase::Held { until };
-                actions.push(Action::Timer { delay_ms: self.set.release_ms, tag: u64::from(id) });
+                actions.push(Action::SetTimer { delay_ms: self.set.release_pause_ms, tag: u64::from(id) });
             }
             // A busy number stays busy. A fault in signalling passes: one exchange answered four in five so.
-            Outcome::Busy if reason == Reason::LinesBusy => {
+            Outcome::Busy if reason == Reason::UserBusy => {
                 if called != 0 {
                     self.gapped.insert(called, self.now + GAP_MS);
                 }
@@ -503,7 +512,7 @@
                 call.phase = Phase::Waiting;
                 self.decide(id, actions);
             }
-            Phase::Held { until } => actions.push(Action::Timer { delay_ms: until - self.now, tag }),
+            Phase::Held { until } => actions.push(Action::SetTimer { delay_ms: until - self.now, tag }),
             _ => {}
         }
     }
@@ -583,7 +592,7 @@
         }
         if !sure.is_empty() {
             open = sure;
-        } else if !self.set.may_tell {
+        } else if !self.set.may_message_peers {
             let zone = self.by_number.get(&call.dest).map(|id| self.exchanges[id].zone);
             let record = |to: &ExchangeId| {
                 let e = &self.exchanges[to];
@@ -604,7 +613,7 @@
         room: impl Fn(&Self, ExchangeId) -> (f64, f64),
     ) -> Option<((f64, f64), ExchangeId)> {
         let mut best: Option<((f64, f64), ExchangeId)> = None;
-        let d = if self.set.may_tell { SAMPLED_TOLD } else { SAMPLED_TANDEMS };
+        let d = if self.set.may_message_peers { SAMPLED_TOLD } else { SAMPLED_TANDEMS };
         for _ in 0..d.min(open.len()) {
             let picked = open.swap_remove(self.rng.random_range(0..open.len()));
             let key = room(self, picked);
@@ -710,7 +719,7 @@
 
     /// Whether no call goes there now but on trial: told off, or so slow that every class is shed.
     pub fn avoids(&self, id: ExchangeId) -> bool {
-        let most = self.set.classes.iter().map(|c| SHED_AT * c.aim_ms).fold(0.0, f64::max);
+        let most = self.set.classes.iter().map(|c| SHED_AT * c.target_setup_ms).fold(0.0, f64::max);
         let shed = |e: &Exchange| self.expected(id) - if e.floor < f64::MAX { e.floor } else { 0.0 } >= most;
         self.exchanges.get(&id).is_none_or(|e| e.told_off || shed(e))
     }
@@ -730,7 +739,7 @@
     fn admit(&self, call: &Call, way: &[ExchangeId]) -> bool {
         let class = &self.set.classes[call.class];
         let rank = class.worth / self.top_worth;
-        let patience = class.aim_ms.min(call.deadline - self.now);
+        let patience = class.target_setup_ms.min(call.deadline - self.now);
         let limit = patience * (SHED_CHEAP_AT + (SHED_AT - SHED_CHEAP_AT) * rank);
         // What counts is the wait on top of the way itself: where the way alone takes a good part of the
         // wanted time, a healthy exchange would else be shed for being far.
@@ -761,28 +770,28 @@
     /// cut calls come back to all agents at once.
     fn cold_credit(&self, exchange: &Exchange) -> f64 {
         let age = self.now - exchange.born;
-        if exchange.born <= 0.0 || age >= self.set.cold_ms {
+        if exchange.born <= 0.0 || age >= self.set.cold_period_ms {
             return f64::MAX;
         }
-        let grown =
-            self.set.cold_from + (1.0 - self.set.cold_from) * (age / self.set.cold_ms).clamp(0.0, 1.0);
+        let grown = self.set.cold_initial_capacity
+            + (1.0 - self.set.cold_initial_capacity) * (age / self.set.cold_period_ms).clamp(0.0, 1.0);
         let others = self.rates.iter().filter(|(number, _)| **number != exchange.number);
         let all: f64 = others.map(|(_, rate)| faded_rate(*rate, self.now)).sum();
         let fair = all / self.by_number.len().max(1) as f64;
         let usual = if exchange.usual > 0.0 { exchange.usual } else { fair };
-        let per_ms = COLD_PART * self.set.fall_multiple * grown * usual / self.processes / 1_000.0;
-        let most = (COLD_BURST * per_ms * self.set.fall_ms).max(1.0);
+        let per_ms = COLD_PART * self.set.overload_factor * grown * usual / self.processes / 1_000.0;
+        let most = (COLD_BURST * per_ms * self.set.overload_duration_ms).max(1.0);
         (exchange.credit + per_ms * (self.now - exchange.credit_at)).min(most)
     }
 
     // ---- what is learned ----
 
-    fn learn_list(&mut self, kind: ListKind, entries: &[Listed]) {
-        if kind == ListKind::Failed {
+    fn learn_list(&mut self, kind: ListUpdateKind, entries: &[ListedExchange]) {
+        if kind == ListUpdateKind::FetchFailed {
             self.subscribed = false;
             return;
         }
-        if matches!(kind, ListKind::Full | ListKind::Cached) {
+        if matches!(kind, ListUpdateKind::Complete | ListUpdateKind::Cached) {
             let named: BTreeSet<_> = entries.iter().map(|entry| entry.id).collect();
             for (_, exchange) in
                 self.exchanges.iter_mut().filter(|(id, e)| !e.told_off && !named.contains(id))
@@ -824,7 +833,7 @@
             exchange.zone = entry.zone;
             exchange.told_off = entry.readiness != Readiness::Ready;
             exchange.told_off_at = self.now;
-            let born = if entry.born_ms.is_finite() { entry.born_ms } else { self.now };
+            let born = if entry.started_ms.is_finite() { entry.started_ms } else { self.now };
             if exchange.born != born {
                 exchange.born = born;
                 // Less the last send itself: a rate taken at a send is that much too high.
@@ -843,20 +852,20 @@
         }
     }
 
-    fn learn_report(&mut self, from: ExchangeId, report: Option<&Report>) {
+    fn learn_report(&mut self, from: ExchangeId, report: Option<&LoadReport>) {
         let (Some(report), Some(exchange)) = (report, self.exchanges.get_mut(&from)) else { return };
-        for (value, field) in report.iter().zip(&self.set.report) {
+        for (value, field) in report.iter().zip(&self.set.report_fields) {
             if !value.is_finite() || *value < 0.0 {
                 continue;
             }
             match field {
-                ReportField::Free => {
+                ReportField::FreeCircuits => {
                     exchange.free = Some(*value);
                     if *value < 1.0 {
                         exchange.full_at = self.now;
                     }
                 }
-                ReportField::Total => exchange.total = *value,
+                ReportField::TotalCircuits => exchange.total = *value,
                 _ => {}
             }
         }
@@ -867,8 +876,12 @@
     /// message is the version, the own number, a stamp, the first number it tells of, then a byte for each
     /// number from there on.
     fn tell_peers(&self, actions: &mut Vec<Action>) {
-        let Some(home) = self.set.home.filter(|_| self.set.may_tell && self.set.agents > 1) else { return };
-        let slowest = self.set.classes.iter().map(|c| c.aim_ms).fold(f64::MAX, f64::min) * SHED_CHEAP_AT;
+        let Some(home) = self.set.home.filter(|_| self.set.may_message_peers && self.set.agent_count > 1)
+        else {
+            return;
+        };
+        let slowest =
+            self.set.classes.iter().map(|c| c.target_setup_ms).fold(f64::MAX, f64::min) * SHED_CHEAP_AT;
         if self.own_delay() >= slowest {
             return;
         }
@@ -891,7 +904,7 @@
                     bytes.extend(word.to_le_bytes());
                 }
                 bytes.extend(block.map(|number| said(&number)));
-                actions.push(Action::Tell { to: None, bytes });
+                actions.push(Action::SendPeerMessage { to: None, bytes });
             }
         }
     }
@@ -933,8 +946,8 @@
 
     fn upkeep(&mut self, actions: &mut Vec<Action>) {
         let heard = self.exchanges.values().any(|e| e.free.is_some());
-        actions.push(Action::Timer { delay_ms: UPKEEP_MS, tag: UPKEEP_TAG });
-        if self.set.must_ask && !self.subscribed && self.now - self.asked_at >= ASK_AGAIN_MS {
+        actions.push(Action::SetTimer { delay_ms: UPKEEP_MS, tag: UPKEEP_TAG });
+        if self.set.must_fetch_list && !self.subscribed && self.now - self.asked_at >= ASK_AGAIN_MS {
             self.subscribed = true;
             self.asked_at = self.now;
             actions.push(Action::Subscribe);
@@ -957,10 +970,10 @@
     if settings.classes.is_empty() {
         return Err(SettingsError("there is no class of call"));
     }
-    if settings.classes.iter().any(|c| !(c.width > 0.0 && c.hold_ms > 0.0 && c.aim_ms > 0.0)) {
+    if settings.classes.iter().any(|c| !(c.width > 0.0 && c.mean_hold_ms > 0.0 && c.target_setup_ms > 0.0)) {
         return Err(SettingsError("a class has no width, no length or no wanted time"));
     }
-    if settings.try_limit == 0 {
+    if settings.attempt_limit == 0 {
         return Err(SettingsError("no call may be attempted (try limit 0)"));
     }
     let value = settings.classes.iter().map(circuit_value).fold(f64::MIN_POSITIVE, f64::max);
@@ -984,5 +997,5 @@
 
 /// What a class earns for each circuit and ms.
 fn circuit_value(class: &Class) -> f64 {
-    class.worth / (class.width * class.hold_ms)
+    class.worth / (class.width * class.mean_hold_ms)
 }
--- a/src/decide/beliefs.rs
+++ b/src/decide/beliefs.rs
@@ -11,13 +11,13 @@
     /// What it is about.
     pub topic: String,
     /// Of which exchange, if it is of one.
-    pub of: Option<ExchangeId>,
+    pub exchange: Option<ExchangeId>,
     /// The figures, in the order that the topic has.
     pub values: Vec<f64>,
 }
 
-fn belief(topic: &str, of: Option<ExchangeId>, values: &[f64]) -> Belief {
-    Belief { topic: topic.to_owned(), of, values: values.to_vec() }
+fn belief(topic: &str, exchange: Option<ExchangeId>, values: &[f64]) -> Belief {
+    Belief { topic: topic.to_owned(), exchange, values: values.to_vec() }
 }
 
 /// Both halves of a key, each of which a figure holds exactly.
@@ -65,7 +65,7 @@
             return;
         }
         let number = |value: f64| value as Number;
-        match (belief.topic.as_str(), belief.of, &belief.values[..]) {
+        match (belief.topic.as_str(), belief.exchange, &belief.values[..]) {
             ("common", _, [common, at, ..]) => (self.common, self.common_at) = (common.max(0.0), *at),
             ("exchange", Some(id), [known, free, total, full_at, rest @ ..]) => {
                 let Some(exchange) = self.exchanges.get_mut(&id) else { return };
@@ -78,8 +78,8 @@
                     adopt_record(exchange, record);
                 }
             }
-            ("rate", _, [of, rate, at, ..]) => {
-                self.rates.insert(number(*of), (rate.max(0.0), *at));
+            ("rate", _, [exchange, rate, at, ..]) => {
+                self.rates.insert(number(*exchange), (rate.max(0.0), *at));
             }
             ("leg", _, [tandem, dest, full_until, absent_until, carried, ..]) => {
                 let (full_until, absent_until) = (*full_until, *absent_until);
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -15,24 +15,25 @@
 use crate::decide::SettingsError;
 use crate::decide::beliefs::Belief;
 use crate::interface::{
-    Action, CallId, Event, ExchangeId, ListKind, Listed, NewCall, Number, Outcome, Readiness, Reason,
-    ReportField,
+    Action, CallId, Event, ExchangeId, ListUpdateKind, ListedExchange, NewCall, Number, Outcome, Readiness,
+    Reason, ReportField,
 };
-use crate::ops::{Figures, Now, Order, Reply};
+use crate::ops::{Figures, Now, OperatorReply, OperatorRequest};
 
+mod messages;
 mod notes;
 mod peers;
 mod twin;
 mod view;
-mod words;
 
+pub use messages::{
+    CallUid, CallerConnId, CallerMessage, Effect, ExchangeConnId, ExchangeMessage, Front, HandoverState,
+    Input, ListEntry, SetUp, SiblingMessage,
+};
 use notes::{LastEnd, Notes};
 use peers::{Conn, Peer, QUIET, Way};
-use swiftlb_record::{Drainer, Event as Recorded, FailedWhy, RefusedWhy, ReleasedBy};
+use swiftlb_record::{DrainSource, Event as Recorded, FailureReason, RefusalReason, ReleasedBy};
 use twin::Role;
-pub use words::{
-    CallName, CallerWord, ConnId, Effect, Entry, Front, Inheritance, Input, LinkId, PeerWord, SetUp, TwinWord,
-};
 
 /// A final answer that the module has not given this long after the caller's time is given for it: well
 /// inside the 50 ms that the rules allow on sockets.
@@ -44,7 +45,7 @@
 /// A release that finds no way to callers is kept for this long: past it nobody waits for it.
 const KEEP_RELEASE: Duration = Duration::from_secs(10);
 /// No way has this id.
-const NO_LINK: LinkId = LinkId::MAX;
+const NO_LINK: CallerConnId = CallerConnId::MAX;
 /// A release whose own way is gone waits this long for a way on which calls have come: a connection that has
 /// said nothing yet may never read it.
 const BETTER_WAY: Duration = Duration::from_millis(250);
@@ -129,9 +130,9 @@
     /// Look whether an exchange is still there.
     Watch(ExchangeId),
     /// Look whether anything has come on a way since a set-up went out on it.
-    Quiet(ConnId),
+    Quiet(ExchangeConnId),
     /// A connection from callers may have been idle for too long.
-    Idle(LinkId),
+    Idle(CallerConnId),
     /// Releases have waited for a better way.
     Held,
     /// The drain may be over.
@@ -151,15 +152,15 @@
     /// Taken, nothing out.
     Open,
     /// One attempt out; no way if it still waits for one.
-    Out { to: ExchangeId, sent: SystemTime, on: Option<ConnId> },
+    Out { to: ExchangeId, sent: SystemTime, on: Option<ExchangeConnId> },
     /// It stands.
     Standing { at: ExchangeId },
 }
 
 #[derive(Debug)]
 struct Call {
-    name: CallName,
-    link: LinkId,
+    name: CallUid,
+    caller_conn: CallerConnId,
     front: Front,
     class: String,
     dest: Number,
@@ -198,8 +199,8 @@
     since: SystemTime,
     until: SystemTime,
     front: Front,
-    call: CallName,
-    word: CallerWord,
+    call: CallUid,
+    word: CallerMessage,
 }
 
 /// All state of a softswitch.
@@ -213,14 +214,14 @@
     release_pause: Duration,
     drain_grace: Duration,
     calls: HashMap<CallId, Call>,
-    by_name: HashMap<CallName, CallId>,
+    by_name: HashMap<CallUid, CallId>,
     last_call: CallId,
     peers: BTreeMap<ExchangeId, Peer>,
     by_peer_name: HashMap<Arc<str>, ExchangeId>,
-    conns: HashMap<ConnId, Conn>,
-    last_conn: ConnId,
+    conns: HashMap<ExchangeConnId, Conn>,
+    last_conn: ExchangeConnId,
     last_peer: u32,
-    links: BTreeMap<LinkId, Link>,
+    links: BTreeMap<CallerConnId, Link>,
     most_links: usize,
     /// Descriptors that the softswitch may hold.
     sockets: usize,
@@ -232,10 +233,10 @@
     /// A timer runs for them.
     held_timer: bool,
     /// Releases that were sent a moment ago, and on which way: it may turn out that nobody read them.
-    fresh: VecDeque<(SystemTime, LinkId, Held)>,
+    fresh: VecDeque<(SystemTime, CallerConnId, Held)>,
     /// Calls that are over, oldest first, and the same for looking them up.
-    over: VecDeque<(SystemTime, CallName)>,
-    over_names: HashSet<CallName>,
+    over: VecDeque<(SystemTime, CallUid)>,
+    over_names: HashSet<CallUid>,
     tests: u64,
     timers: BinaryHeap<Reverse<(SystemTime, u64, Timer)>>,
     timer_count: u64,
@@ -311,7 +312,7 @@
             listed: false,
         };
         engine.configure(config);
-        engine.learn_list(config.known.clone(), ListKind::Cached, effects);
+        engine.learn_list(config.known.clone(), ListUpdateKind::Cached, effects);
         engine.run_module(effects);
         Ok(engine)
     }
@@ -354,62 +355,75 @@
     fn take(&mut self, input: Input, effects: &mut Vec<Effect>) {
         match input {
             Input::Wake => {}
-            Input::LinkUp { link, front } => self.link_up(link, front, effects),
-            Input::Spoilt { link } => self.spoil(link, effects),
-            Input::LinkDown { link } => self.lose_link(link, effects),
-            Input::Unheard { link } => {
+            Input::CallerConnected { caller_conn, front } => self.link_up(caller_conn, front, effects),
+            Input::CallerStreamCorrupt { caller_conn } => self.spoil(caller_conn, effects),
+            Input::CallerDisconnected { caller_conn } => self.lose_link(caller_conn, effects),
+            Input::CallerMessagesUnread { caller_conn } => {
                 // Guards against the loss of a release that crossed the caller's close of the connection.
-                let unheard = self.fresh.iter().filter(|(_, on, _)| *on == link);
+                let unheard = self.fresh.iter().filter(|(_, on, _)| *on == caller_conn);
                 self.held.extend(unheard.map(|(_, _, held)| held.clone()));
-                self.fresh.retain(|(_, on, _)| *on != link);
+                self.fresh.retain(|(_, on, _)| *on != caller_conn);
                 self.send_held(effects);
             }
-            Input::SetUp { link, call, setup } => {
-                self.heard(link, effects);
-                self.take_call(link, call, setup, effects);
+            Input::SetUp { caller_conn, call, setup } => {
+                self.heard(caller_conn, effects);
+                self.take_call(caller_conn, call, setup, effects);
             }
-            Input::Malformed { link, call } => {
-                self.heard(link, effects);
-                self.malformed(link, call, effects);
+            Input::MalformedSetUp { caller_conn, call } => {
+                self.heard(caller_conn, effects);
+                self.malformed(caller_conn, call, effects);
             }
-            Input::HangUp { link, call, cause } => {
-                self.heard(link, effects);
-                self.hang_up(link, call, cause, effects);
+            Input::HangUp { caller_conn, call, cause } => {
+                self.heard(caller_conn, effects);
+                self.hang_up(caller_conn, call, cause, effects);
             }
-            Input::Check { link, call } => {
+            Input::HealthCheck { caller_conn, call } => {
                 // Guards against the loss of releases on the connections that the front only tests with.
-                if let Some(held) = self.links.get_mut(&link) {
+                if let Some(held) = self.links.get_mut(&caller_conn) {
                     held.tester = !held.spoke;
                     held.heard = self.now;
                 }
                 let passed = self.draining_since.is_none() && self.emptying.is_none();
-                effects.push(Effect::ToCaller { link, call, word: CallerWord::Checked { passed } });
+                effects.push(Effect::ToCaller {
+                    caller_conn,
+                    call,
+                    message: CallerMessage::HealthCheckResult { passed },
+                });
             }
-            Input::List(entries) => self.learn_list(entries, ListKind::Full, effects),
-            Input::Listed { serial } => {
+            Input::List(entries) => self.learn_list(entries, ListUpdateKind::Complete, effects),
+            Input::ListConfirmed { serial } => {
                 if (self.listed, self.serial) != (true, serial) {
-                    let known = self.peers.values().filter(|peer| peer.readiness != Readiness::Gone).count();
+                    let known =
+                        self.peers.values().filter(|peer| peer.readiness != Readiness::Removed).count();
                     self.note(|_| Recorded::List { serial, exchanges: known as u32 });
                 }
                 (self.listed, self.serial) = (true, serial);
             }
-            Input::Twin(word) => self.hear_twin(word, effects),
-            Input::TwinDown => self.lose_twin(effects),
-            Input::Written { attempts } => self.figures.attempted(attempts),
-            Input::Operator { ticket, order } => {
-                let reply = self.operate(order);
-                effects.push(Effect::ToOperator { ticket, reply });
+            Input::SiblingMessage(word) => self.hear_twin(word, effects),
+            Input::SiblingDisconnected => self.lose_twin(effects),
+            Input::AttemptsWritten { attempts } => self.figures.attempted(attempts),
+            Input::OperatorRequest { request_id, request } => {
+                let reply = self.operate(request);
+                effects.push(Effect::ToOperator { request_id, reply });
+            }
+            Input::ExchangeConnected { exchange_conn, carries_calls } => {
+                self.connected(exchange_conn, carries_calls, effects)
+            }
+            Input::ExchangeConnectFailed { exchange_conn, refused } => {
+                self.connect_failed(exchange_conn, refused, effects)
+            }
+            Input::ExchangeDisconnected { exchange_conn } => self.connection_lost(exchange_conn, effects),
+            Input::ExchangeActivity { exchange_conn } => self.note_heard(exchange_conn),
+            Input::Answered { exchange_conn, call, description } => {
+                self.answered(exchange_conn, call, description, effects)
+            }
+            Input::Ended { exchange_conn, call, outcome, reason } => {
+                self.ended(exchange_conn, call, outcome, reason, effects);
             }
-            Input::Connected { conn, bound } => self.connected(conn, bound, effects),
-            Input::ConnectFailed { conn, refused } => self.connect_failed(conn, refused, effects),
-            Input::ConnectionLost { conn } => self.connection_lost(conn, effects),
-            Input::Alive { conn } => self.note_heard(conn),
-            Input::Answered { conn, call, description } => self.answered(conn, call, description, effects),
-            Input::Ended { conn, call, outcome, reason } => {
-                self.ended(conn, call, outcome, reason, effects);
+            Input::GroupState { exchange_conn, report } => self.group_told(exchange_conn, report),
+            Input::ProbeResult { exchange_conn, passed, report } => {
+                self.probed(exchange_conn, passed, report)
             }
-            Input::GroupState { conn, report } => self.group_told(conn, report),
-            Input::Tested { conn, passed, report } => self.probed(conn, passed, report),
             Input::Reload(config) => self.reload(config, effects),
             Input::Drain if self.succeeded() => self.leave_to_successor(effects),
             Input::Drain => {
@@ -421,35 +435,35 @@
         }
     }
 
-    fn operate(&mut self, order: Order) -> Reply {
+    fn operate(&mut self, order: OperatorRequest) -> OperatorReply {
         match order {
-            Order::Readiness if self.is_ready() => Reply::Done,
-            Order::Readiness => Reply::NotReady,
-            Order::Stats => {
-                let listed = || self.peers.iter().filter(|(_, peer)| peer.readiness != Readiness::Gone);
+            OperatorRequest::Readiness if self.is_ready() => OperatorReply::Done,
+            OperatorRequest::Readiness => OperatorReply::NotReady,
+            OperatorRequest::Metrics => {
+                let listed = || self.peers.iter().filter(|(_, peer)| peer.readiness != Readiness::Removed);
                 let avoided =
                     |id: &ExchangeId, peer: &Peer| Some(peer.number) != self.home && self.module.avoids(*id);
                 let unavailable = listed().filter(|(id, peer)| avoided(id, peer)).count();
                 let now = Now { pending: self.calls.len(), members: listed().count(), unavailable };
-                Reply::Figures(self.figures.text(now))
+                OperatorReply::Metrics(self.figures.text(now))
             }
-            Order::Fleet => Reply::Fleet(self.fleet().json()),
-            Order::DrainStart => {
+            OperatorRequest::Fleet => OperatorReply::Fleet(self.fleet().json()),
+            OperatorRequest::DrainStart => {
                 if self.emptying.is_none() {
-                    self.note_drain(true, Drainer::Operator);
+                    self.note_drain(true, DrainSource::Operator);
                     self.emptying = Some(self.now);
                     self.set_timer(EMPTY_AFTER, Timer::Empty(self.now));
                 }
-                Reply::Done
+                OperatorReply::Done
             }
-            Order::DrainStop => {
+            OperatorRequest::DrainStop => {
                 if self.emptying.take().is_some() {
-                    self.note_drain(false, Drainer::Operator);
+                    self.note_drain(false, DrainSource::Operator);
                 }
                 // Callers come back in a moment: what waits for them is not told to whoever is there by chance.
                 let now = self.now;
                 self.held.iter_mut().for_each(|held| (held.since, held.until) = (now, now + KEEP_RELEASE));
-                Reply::Done
+                OperatorReply::Done
             }
         }
     }
@@ -468,12 +482,12 @@
         let place = |name: &String| config.classes.iter().position(|(class, _)| class == name);
         let places: Vec<Option<usize>> = self.classes.iter().map(|(name, ..)| place(name)).collect();
         if let Err(error) = self.module.reconfigure(config.settings.clone(), &places) {
-            effects.push(Effect::Trace(format!("configuration refused, the old one stays: {error}")));
+            effects.push(Effect::Log(format!("configuration refused, the old one stays: {error}")));
             return;
         }
         self.configure(&config);
         self.note_classes();
-        effects.push(Effect::Trace(format!("configuration read again, resolver at {}", config.names)));
+        effects.push(Effect::Log(format!("configuration read again, resolver at {}", config.names)));
         effects.push(Effect::Reconfigure(config));
     }
 
@@ -483,13 +497,13 @@
         self.classes = classes.map(|((name, most), class)| (name.clone(), class.width, *most)).collect();
         self.figures.know(config.classes.iter().map(|(name, _)| name.clone()));
         self.home = set.home;
-        self.try_limit = set.try_limit;
-        self.release_pause = span(set.release_ms);
+        self.try_limit = set.attempt_limit;
+        self.release_pause = span(set.release_pause_ms);
         self.drain_grace = span(set.drain_grace_ms);
         self.most_wait = span(set.max_retry_after_ms);
         self.sockets = config.sockets;
-        let place = |field| set.report.iter().position(|known| *known == field);
-        self.in_report = (place(ReportField::Free), place(ReportField::Total));
+        let place = |field| set.report_fields.iter().position(|known| *known == field);
+        self.in_report = (place(ReportField::FreeCircuits), place(ReportField::TotalCircuits));
         self.divide();
     }
 
@@ -500,19 +514,19 @@
 
     fn ring(&mut self, timer: Timer, effects: &mut Vec<Effect>) {
         match timer {
-            Timer::Module(tag) => self.events.push_back(Event::Timer { tag }),
+            Timer::Module(tag) => self.events.push_back(Event::TimerExpired { tag }),
             Timer::Attempt(id, attempt) => self.time_out(id, attempt, effects),
             Timer::Overdue(id) => {
                 // Guards rule 1 against the module: its answer is overdue.
                 if let Some(call) = self.calls.get(&id)
                     && !matches!(call.phase, Phase::Standing { .. })
                 {
-                    effects.push(Effect::Trace(format!("{:?} overdue, failed for the module", call.name)));
+                    effects.push(Effect::Log(format!("{:?} overdue, failed for the module", call.name)));
                     self.abandon(id, effects);
                     self.conclude_as(
                         id,
-                        CallerWord::Failed { busy: false },
-                        Some(FailedWhy::Overdue),
+                        CallerMessage::Failed { busy: false },
+                        Some(FailureReason::DecisionOverdue),
                         effects,
                     );
                 }
@@ -523,8 +537,8 @@
                 self.forget_old();
                 self.watch(peer, effects);
             }
-            Timer::Quiet(conn) => self.check_quiet(conn, effects),
-            Timer::Idle(link) => self.check_idle(link, effects),
+            Timer::Quiet(exchange_conn) => self.check_quiet(exchange_conn, effects),
+            Timer::Idle(caller_conn) => self.check_idle(caller_conn, effects),
             Timer::Held => {
                 self.held_timer = false;
                 self.send_held(effects);
@@ -545,60 +559,71 @@
         }
         self.set_timer(EMPTY_EVERY, Timer::Empty(order));
         let late = since(order, self.now) >= EMPTY_BY;
-        let in_use = |link: &Link| late && since(order, link.heard) >= EMPTY_RECENT;
-        let links: Vec<(LinkId, bool)> = self.links.iter().map(|(id, link)| (*id, in_use(link))).collect();
+        let in_use = |caller_conn: &Link| late && since(order, caller_conn.heard) >= EMPTY_RECENT;
+        let links: Vec<(CallerConnId, bool)> =
+            self.links.iter().map(|(id, caller_conn)| (*id, in_use(caller_conn))).collect();
         let open = self.links_in_use();
         let kept = if late { None } else { self.kept_for_releases() };
-        for (link, in_use) in links {
-            if !open.contains(&link) && kept != Some(link) {
-                self.close_if_empty(link, effects);
+        for (caller_conn, in_use) in links {
+            if !open.contains(&caller_conn) && kept != Some(caller_conn) {
+                self.close_if_empty(caller_conn, effects);
             } else if in_use {
-                self.spoil(link, effects);
+                self.spoil(caller_conn, effects);
             }
         }
     }
 
     /// The connection that goes last, because the ends of the calls that stand are told on it.
-    fn kept_for_releases(&self) -> Option<LinkId> {
+    fn kept_for_releases(&self) -> Option<CallerConnId> {
         let stands =
-            |call: &Call| call.front == Front::Platform && matches!(call.phase, Phase::Standing { .. });
+            |call: &Call| call.front == Front::JsonLines && matches!(call.phase, Phase::Standing { .. });
         let any = self.calls.values().any(stands);
-        let callers =
-            self.links.iter().filter(|(_, link)| any && link.front == Front::Platform && link.spoke);
-        callers.max_by_key(|(id, link)| (link.served, std::cmp::Reverse(**id))).map(|(id, _)| *id)
+        let callers = self
+            .links
+            .iter()
+            .filter(|(_, caller_conn)| any && caller_conn.front == Front::JsonLines && caller_conn.spoke);
+        callers
+            .max_by_key(|(id, caller_conn)| (caller_conn.served, std::cmp::Reverse(**id)))
+            .map(|(id, _)| *id)
     }
 
     /// Closes a connection of callers that are being sent away; no set-up is open on it.
-    fn close_if_empty(&self, id: LinkId, effects: &mut Vec<Effect>) {
-        let Some(link) = self.links.get(&id).filter(|link| link.front == Front::Platform) else { return };
+    fn close_if_empty(&self, id: CallerConnId, effects: &mut Vec<Effect>) {
+        let Some(caller_conn) =
+            self.links.get(&id).filter(|caller_conn| caller_conn.front == Front::JsonLines)
+        else {
+            return;
+        };
         let leaving =
             self.leaving || self.emptying.is_some_and(|order| since(order, self.now) >= EMPTY_AFTER);
         // One that has just come has something to say.
-        if leaving && (link.spoke || link.tester || since(link.heard, self.now) >= EMPTY_AFTER) {
-            effects.push(Effect::CloseIfQuiet { link: id });
+        if leaving
+            && (caller_conn.spoke || caller_conn.tester || since(caller_conn.heard, self.now) >= EMPTY_AFTER)
+        {
+            effects.push(Effect::CloseCallerConnIfIdle { caller_conn: id });
         }
     }
 
     /// Ways to callers on which set-ups are open.
-    fn links_in_use(&self) -> HashSet<LinkId> {
+    fn links_in_use(&self) -> HashSet<CallerConnId> {
         let open = self.calls.values().filter(|call| !matches!(call.phase, Phase::Standing { .. }));
-        open.map(|call| call.link).collect()
+        open.map(|call| call.caller_conn).collect()
     }
 
     /// A call has had its answer: its connection may have nothing more open.
-    fn answered_on(&self, link: LinkId, effects: &mut Vec<Effect>) {
+    fn answered_on(&self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
         let kept = match self.emptying {
-            Some(order) => since(order, self.now) < EMPTY_BY && self.kept_for_releases() == Some(link),
+            Some(order) => since(order, self.now) < EMPTY_BY && self.kept_for_releases() == Some(caller_conn),
             None if self.leaving => false,
             None => return,
         };
-        if !kept && !self.links_in_use().contains(&link) {
-            self.close_if_empty(link, effects);
+        if !kept && !self.links_in_use().contains(&caller_conn) {
+            self.close_if_empty(caller_conn, effects);
         }
     }
 
     fn try_exit(&mut self, effects: &mut Vec<Effect>) {
-        let callers = || self.links.values().any(|link| link.front == Front::Platform);
+        let callers = || self.links.values().any(|caller_conn| caller_conn.front == Front::JsonLines);
         if self.leaving && self.calls.is_empty() && self.held.is_empty() && !callers() {
             self.exit(effects);
         }
@@ -633,62 +658,68 @@
                 self.attempt(call, exchange, span(timeout_ms), effects);
             }
             Action::Refuse { call, retry_after_ms } => {
-                self.conclude(call, CallerWord::Refused { wait: span(retry_after_ms) }, effects);
+                self.conclude(call, CallerMessage::Refused { retry_after: span(retry_after_ms) }, effects);
             }
             Action::Fail { call } => {
                 let busy = self.calls.get(&call).is_some_and(|held| held.busy);
-                self.conclude(call, CallerWord::Failed { busy }, effects);
+                self.conclude(call, CallerMessage::Failed { busy }, effects);
             }
             Action::Cancel { call, attempt } => {
                 if self.calls.get(&call).is_some_and(|held| held.attempts == attempt + 1) {
                     self.cancel(call, effects);
                 }
             }
-            Action::Timer { delay_ms, tag } => self.set_timer(span(delay_ms), Timer::Module(tag)),
+            Action::SetTimer { delay_ms, tag } => self.set_timer(span(delay_ms), Timer::Module(tag)),
             Action::Probe { exchange } => {
-                if let Some(Way::Up(conn)) = self.peers.get(&exchange).map(|peer| peer.way) {
+                if let Some(Way::Up(exchange_conn)) = self.peers.get(&exchange).map(|peer| peer.way) {
                     self.tests = self.tests.wrapping_add(1);
-                    let call = CallName::from_u64(self.tests);
-                    effects.push(Effect::ToExchange { conn, call, word: PeerWord::Test });
+                    let call = CallUid::from_u64(self.tests);
+                    effects.push(Effect::ToExchange { exchange_conn, call, message: ExchangeMessage::Probe });
                 }
             }
-            Action::Trace { text } => effects.push(Effect::Trace(text)),
+            Action::Log { text } => effects.push(Effect::Log(text)),
             // Softswitches have no way to talk to each other here, and the list comes unasked.
-            Action::Tell { .. } | Action::Subscribe | Action::FetchList => {}
+            Action::SendPeerMessage { .. } | Action::Subscribe | Action::FetchList => {}
         }
     }
 
     // ---- calls ----
 
-    fn take_call(&mut self, link: LinkId, name: CallName, setup: SetUp, effects: &mut Vec<Effect>) {
-        let Some(front) = self.links.get(&link).map(|link| link.front) else { return };
+    fn take_call(
+        &mut self,
+        caller_conn: CallerConnId,
+        name: CallUid,
+        setup: SetUp,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(front) = self.links.get(&caller_conn).map(|caller_conn| caller_conn.front) else { return };
         if self.by_name.contains_key(&name) {
-            // A word under this id could be taken for the answer of the call that has it.
-            return self.spoil(link, effects);
+            // A message under this id could be taken for the answer of the call that has it.
+            return self.spoil(caller_conn, effects);
         }
         let class = self.classes.iter().position(|(class, ..)| *class == setup.class);
         // What no caller of the class can mean must not reach an exchange, which would take it for good.
         let fits = |class: &usize| {
             let (_, width, most) = &self.classes[*class];
-            setup.left.is_none_or(|left| left <= *most) && setup.width.is_none_or(|w| w == *width)
+            setup.remaining.is_none_or(|left| left <= *most) && setup.width.is_none_or(|w| w == *width)
         };
-        let Some(class) = class.filter(fits) else { return self.malformed(link, name, effects) };
+        let Some(class) = class.filter(fits) else { return self.malformed(caller_conn, name, effects) };
         let bytes = setup.description.as_ref().map_or(0, |text| text.len());
         // Handsets have no front that stops sending: they are told themselves.
-        let sent_away = (self.emptying.is_some() || self.leaving) && front == Front::Handsets;
+        let sent_away = (self.emptying.is_some() || self.leaving) && front == Front::Iax2;
         if sent_away || self.open >= MOST_OPEN || self.open_bytes + bytes > MOST_OPEN_BYTES {
             self.figures.rejected(&setup.class);
-            let why = if sent_away { RefusedWhy::SentAway } else { RefusedWhy::TooMany };
+            let why = if sent_away { RefusalReason::Draining } else { RefusalReason::TooManySetUps };
             self.note_refusal(name, why, self.most_wait);
-            let word = CallerWord::Refused { wait: self.most_wait };
-            effects.push(Effect::ToCaller { link, call: name, word });
+            let message = CallerMessage::Refused { retry_after: self.most_wait };
+            effects.push(Effect::ToCaller { caller_conn, call: name, message });
             return;
         }
         self.open += 1;
         self.open_bytes += bytes;
         let (width, most) = (self.classes[class].1, self.classes[class].2);
         // The clock of the caller runs from the last byte of the set-up, not from when its turn came here.
-        let deadline = setup.received + setup.left.unwrap_or(most);
+        let deadline = setup.received + setup.remaining.unwrap_or(most);
         self.last_call = self.last_call.wrapping_add(1);
         let id = self.last_call;
         self.events.push_back(Event::Call(NewCall {
@@ -697,10 +728,10 @@
             tenant: 0,
             width: setup.width.unwrap_or(width),
             dest: setup.dest,
-            called: setup.key.as_deref().map_or(0, key_number),
-            left_ms: millis(since(self.now, deadline)),
+            called_number: setup.called_number.as_deref().map_or(0, key_number),
+            remaining_ms: millis(since(self.now, deadline)),
             transit_from: setup.transit_from,
-            advised: setup.advised,
+            advised_route: setup.advised_route,
             redial: false,
             was_cut: setup.was_cut,
         }));
@@ -710,12 +741,12 @@
             id,
             Call {
                 name,
-                link,
+                caller_conn,
                 front,
                 class: setup.class,
                 dest: setup.dest,
                 width: setup.width.unwrap_or(width),
-                key: setup.key,
+                key: setup.called_number,
                 description: setup.description,
                 came: setup.received,
                 deadline,
@@ -730,7 +761,7 @@
     }
 
     /// The one place where a call is given back: its final answer, if one is owed, and all that it held.
-    fn conclude(&mut self, id: CallId, word: CallerWord, effects: &mut Vec<Effect>) {
+    fn conclude(&mut self, id: CallId, word: CallerMessage, effects: &mut Vec<Effect>) {
         self.conclude_as(id, word, None, effects);
     }
 
@@ -738,23 +769,23 @@
     fn conclude_as(
         &mut self,
         id: CallId,
-        word: CallerWord,
-        why: Option<FailedWhy>,
+        message: CallerMessage,
+        why: Option<FailureReason>,
         effects: &mut Vec<Effect>,
     ) {
         // Rule 1: a call that stands has had its answer; all that may follow is its release.
-        let released = matches!(word, CallerWord::Released { .. });
+        let released = matches!(message, CallerMessage::Released { .. });
         let stands = |call: &Call| matches!(call.phase, Phase::Standing { .. });
         if !released && self.calls.get(&id).is_some_and(stands) {
             return;
         }
         let Some(call) = self.forget(id, effects) else { return };
-        match word {
-            CallerWord::Refused { wait } => {
+        match message {
+            CallerMessage::Refused { retry_after } => {
                 self.figures.rejected(&call.class);
-                self.note_refused(&call, wait);
+                self.note_refused(&call, retry_after);
             }
-            CallerWord::Failed { busy } => {
+            CallerMessage::Failed { busy } => {
                 self.figures.failed(&call.class);
                 match why {
                     Some(why) => self.note_failure(call.name, why),
@@ -764,10 +795,10 @@
             _ => {}
         }
         if released {
-            self.release_caller(call.link, self.held(call.front, call.name, word), effects);
-        } else if self.links.contains_key(&call.link) {
-            effects.push(Effect::ToCaller { link: call.link, call: call.name, word });
-            self.answered_on(call.link, effects);
+            self.release_caller(call.caller_conn, self.held(call.front, call.name, message), effects);
+        } else if self.links.contains_key(&call.caller_conn) {
+            effects.push(Effect::ToCaller { caller_conn: call.caller_conn, call: call.name, message });
+            self.answered_on(call.caller_conn, effects);
         }
         self.try_exit(effects);
     }
@@ -784,7 +815,7 @@
             self.over.push_back((self.now, call.name));
         }
         // The module may still hold it (overdue, link lost); it passes over an id it has ended itself.
-        self.events.push_back(Event::Left { call: id });
+        self.events.push_back(Event::Abandoned { call: id });
         Some(call)
     }
 
@@ -805,28 +836,38 @@
         self.open_bytes = self.open_bytes.saturating_sub(description.map_or(0, |text| text.len()));
     }
 
-    fn held(&self, front: Front, call: CallName, word: CallerWord) -> Held {
+    fn held(&self, front: Front, call: CallUid, word: CallerMessage) -> Held {
         Held { since: self.now, until: self.now + KEEP_RELEASE, front, call, word }
     }
 
     /// Releases a call towards its caller: on the way that its set-up came on, else on one on which calls were
     /// served or at least came, else, after a moment, on any, else on the next.
-    fn release_caller(&mut self, first: LinkId, held: Held, effects: &mut Vec<Effect>) {
+    fn release_caller(&mut self, first: CallerConnId, held: Held, effects: &mut Vec<Effect>) {
         let waited = since(held.since, self.now) >= BETTER_WAY;
-        let of_front = self.links.iter().filter(|(_, link)| link.front == held.front && !link.tester);
+        let of_front = self
+            .links
+            .iter()
+            .filter(|(_, caller_conn)| caller_conn.front == held.front && !caller_conn.tester);
         // While callers are sent away, who comes and says nothing is none of those that calls stand for.
         let waited = waited && self.emptying.is_none();
-        let silent = |link: &Link| waited && since(link.heard, self.now) >= BETTER_WAY;
-        let good = of_front.filter(|(_, link)| link.spoke || link.front == Front::Handsets || silent(link));
-        let good = good.max_by_key(|(_, link)| (link.served, link.spoke, link.heard));
-        let link = if self.links.contains_key(&first) { Some(first) } else { good.map(|(link, _)| *link) };
-        let Some(link) = link else {
+        let silent = |caller_conn: &Link| waited && since(caller_conn.heard, self.now) >= BETTER_WAY;
+        let good = of_front.filter(|(_, caller_conn)| {
+            caller_conn.spoke || caller_conn.front == Front::Iax2 || silent(caller_conn)
+        });
+        let good =
+            good.max_by_key(|(_, caller_conn)| (caller_conn.served, caller_conn.spoke, caller_conn.heard));
+        let caller_conn = if self.links.contains_key(&first) {
+            Some(first)
+        } else {
+            good.map(|(caller_conn, _)| *caller_conn)
+        };
+        let Some(caller_conn) = caller_conn else {
             let now = self.now;
             // While callers are sent away there may be no way for long.
             self.held.retain(|held| held.until > now || self.emptying.is_some());
-            if self.succeeded() && held.front == Front::Platform {
-                let cut = held.word == CallerWord::Released { cut: true };
-                return effects.push(Effect::ToTwin(TwinWord::Release { call: held.call, cut }));
+            if self.succeeded() && held.front == Front::JsonLines {
+                let cut = held.word == CallerMessage::Released { cut: true };
+                return effects.push(Effect::ToSibling(SiblingMessage::Release { call: held.call, cut }));
             }
             if !std::mem::replace(&mut self.held_timer, true) {
                 self.set_timer(BETTER_WAY, Timer::Held);
@@ -834,10 +875,10 @@
             self.held.push_back(held);
             return;
         };
-        effects.push(Effect::ToCaller { link, call: held.call, word: held.word.clone() });
+        effects.push(Effect::ToCaller { caller_conn, call: held.call, message: held.word.clone() });
         let now = self.now;
         self.fresh.retain(|(sent, ..)| since(*sent, now) <= UNHEARD);
-        self.fresh.push_back((now, link, held));
+        self.fresh.push_back((now, caller_conn, held));
     }
 
     /// Sends what waits for a way to callers.
@@ -851,28 +892,29 @@
 
     /// A connection from callers is closed. Set-ups open on it are lost, so they are given up; a standing
     /// call belongs to no connection and stays.
-    fn lose_link(&mut self, link: LinkId, effects: &mut Vec<Effect>) {
-        self.links.remove(&link);
+    fn lose_link(&mut self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
+        self.links.remove(&caller_conn);
         self.try_exit(effects);
-        let open = |call: &Call| call.link == link && !matches!(call.phase, Phase::Standing { .. });
+        let open =
+            |call: &Call| call.caller_conn == caller_conn && !matches!(call.phase, Phase::Standing { .. });
         for id in self.calls_where(open) {
             self.leave(id, effects);
         }
     }
 
-    fn link_up(&mut self, link: LinkId, front: Front, effects: &mut Vec<Effect>) {
-        if front == Front::Platform {
-            let taken = self.links.values().filter(|link| link.front == Front::Platform).count();
+    fn link_up(&mut self, caller_conn: CallerConnId, front: Front, effects: &mut Vec<Effect>) {
+        if front == Front::JsonLines {
+            let taken =
+                self.links.values().filter(|caller_conn| caller_conn.front == Front::JsonLines).count();
             if taken >= self.most_links && !self.make_room(effects) {
-                effects
-                    .push(Effect::Trace("no connection from callers can be closed for another".to_owned()));
-                effects.push(Effect::CloseLink { link });
+                effects.push(Effect::Log("no connection from callers can be closed for another".to_owned()));
+                effects.push(Effect::CloseCallerConn { caller_conn });
                 return;
             }
-            self.set_timer(FIRST_LINE, Timer::Idle(link));
+            self.set_timer(FIRST_LINE, Timer::Idle(caller_conn));
         }
         let new = Link { front, heard: self.now, spoke: false, tester: false, served: false, malformed: 0 };
-        self.links.insert(link, new);
+        self.links.insert(caller_conn, new);
         self.send_held(effects);
     }
 
@@ -880,108 +922,119 @@
     /// first those that have said nothing, then those without a call, then those whose calls stand, which are
     /// released on any connection. Of each kind the one that has been quiet longest goes.
     fn make_room(&mut self, effects: &mut Vec<Effect>) -> bool {
-        let mut calls: HashMap<LinkId, (bool, bool)> = HashMap::new();
+        let mut calls: HashMap<CallerConnId, (bool, bool)> = HashMap::new();
         for call in self.calls.values() {
-            let (open, standing) = calls.entry(call.link).or_default();
+            let (open, standing) = calls.entry(call.caller_conn).or_default();
             let stands = matches!(call.phase, Phase::Standing { .. });
             *open |= !stands;
             *standing |= stands;
         }
-        let rank = |id: &LinkId, link: &Link| match calls.get(id).copied().unwrap_or_default() {
+        let rank = |id: &CallerConnId, caller_conn: &Link| match calls.get(id).copied().unwrap_or_default() {
             (true, _) => None,
             (false, true) => Some(2),
-            _ if link.spoke || link.tester => Some(1),
-            _ if since(link.heard, self.now) >= FRESH => Some(0),
+            _ if caller_conn.spoke || caller_conn.tester => Some(1),
+            _ if since(caller_conn.heard, self.now) >= FRESH => Some(0),
             _ => Some(3),
         };
-        let platform = self.links.iter().filter(|(_, link)| link.front == Front::Platform);
-        let ranked = platform.filter_map(|(id, link)| Some((rank(id, link)?, link.heard, *id)));
-        let Some((_, _, link)) = ranked.min() else { return false };
-        self.close_link(link, effects);
+        let platform = self.links.iter().filter(|(_, caller_conn)| caller_conn.front == Front::JsonLines);
+        let ranked =
+            platform.filter_map(|(id, caller_conn)| Some((rank(id, caller_conn)?, caller_conn.heard, *id)));
+        let Some((_, _, caller_conn)) = ranked.min() else { return false };
+        self.close_link(caller_conn, effects);
         true
     }
 
-    fn close_link(&mut self, link: LinkId, effects: &mut Vec<Effect>) {
-        if self.links.get(&link).is_some_and(|held| held.front == Front::Platform) {
-            self.links.remove(&link);
-            effects.push(Effect::CloseLink { link });
+    fn close_link(&mut self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
+        if self.links.get(&caller_conn).is_some_and(|held| held.front == Front::JsonLines) {
+            self.links.remove(&caller_conn);
+            effects.push(Effect::CloseCallerConn { caller_conn });
         }
     }
 
     /// A line has come on a connection from callers.
-    fn heard(&mut self, link: LinkId, effects: &mut Vec<Effect>) {
+    fn heard(&mut self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
         let now = self.now;
-        let Some(link) = self.links.get_mut(&link) else { return };
-        (link.heard, link.tester) = (now, false);
-        if !std::mem::replace(&mut link.spoke, true) && !self.held.is_empty() {
+        let Some(caller_conn) = self.links.get_mut(&caller_conn) else { return };
+        (caller_conn.heard, caller_conn.tester) = (now, false);
+        if !std::mem::replace(&mut caller_conn.spoke, true) && !self.held.is_empty() {
             self.send_held(effects);
         }
     }
 
     /// Closes a connection from callers that says nothing, or that is held on to without a call.
-    fn check_idle(&mut self, link: LinkId, effects: &mut Vec<Effect>) {
-        let Some(held) = self.links.get(&link) else { return };
+    fn check_idle(&mut self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
+        let Some(held) = self.links.get(&caller_conn) else { return };
         let limit = if held.spoke || held.tester { IDLE } else { FIRST_LINE };
         let idle = since(held.heard, self.now);
-        if self.calls.values().any(|call| call.link == link) {
-            self.set_timer(IDLE, Timer::Idle(link));
+        if self.calls.values().any(|call| call.caller_conn == caller_conn) {
+            self.set_timer(IDLE, Timer::Idle(caller_conn));
         } else if idle < limit {
-            self.set_timer(limit - idle, Timer::Idle(link));
+            self.set_timer(limit - idle, Timer::Idle(caller_conn));
         } else {
-            self.close_link(link, effects);
+            self.close_link(caller_conn, effects);
         }
     }
 
     /// Something that names a call but cannot be used. Callers of the platform never send such a thing, and
     /// whoever goes on with it would keep this processor busy with answers.
-    fn malformed(&mut self, link: LinkId, name: CallName, effects: &mut Vec<Effect>) {
+    fn malformed(&mut self, caller_conn: CallerConnId, name: CallUid, effects: &mut Vec<Effect>) {
         if self.by_name.contains_key(&name) {
-            return self.spoil(link, effects);
+            return self.spoil(caller_conn, effects);
         }
-        effects.push(Effect::ToCaller { link, call: name, word: CallerWord::Failed { busy: false } });
-        let Some(held) = self.links.get_mut(&link) else { return };
+        effects.push(Effect::ToCaller {
+            caller_conn,
+            call: name,
+            message: CallerMessage::Failed { busy: false },
+        });
+        let Some(held) = self.links.get_mut(&caller_conn) else { return };
         held.malformed += 1;
         if held.malformed >= MOST_MALFORMED {
-            self.spoil(link, effects);
+            self.spoil(caller_conn, effects);
         }
     }
 
     /// A connection from callers is of no further use. The set-ups open on it get their one answer, then it
     /// is closed; a call that stands, or that came on another one, is not touched.
-    fn spoil(&mut self, link: LinkId, effects: &mut Vec<Effect>) {
-        if self.links.get(&link).is_none_or(|held| held.front != Front::Platform) {
+    fn spoil(&mut self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
+        if self.links.get(&caller_conn).is_none_or(|held| held.front != Front::JsonLines) {
             return;
         }
-        let open = |call: &Call| call.link == link && !matches!(call.phase, Phase::Standing { .. });
+        let open =
+            |call: &Call| call.caller_conn == caller_conn && !matches!(call.phase, Phase::Standing { .. });
         for id in self.calls_where(open) {
             if let Some(Phase::Out { to, .. }) = self.calls.get(&id).map(|call| call.phase) {
                 self.abandon(id, effects);
-                self.module_outcome(id, to, Outcome::Cancelled, Reason::None, true);
+                self.module_outcome(id, to, Outcome::Cancelled, Reason::Unspecified, true);
             }
-            self.conclude_as(id, CallerWord::Failed { busy: false }, Some(FailedWhy::Spoilt), effects);
+            self.conclude_as(
+                id,
+                CallerMessage::Failed { busy: false },
+                Some(FailureReason::CallerStreamCorrupt),
+                effects,
+            );
         }
-        self.close_link(link, effects);
+        self.close_link(caller_conn, effects);
     }
 
-    fn hang_up(&mut self, link: LinkId, name: CallName, cause: u8, effects: &mut Vec<Effect>) {
+    fn hang_up(&mut self, caller_conn: CallerConnId, name: CallUid, cause: u8, effects: &mut Vec<Effect>) {
         let Some(id) = self.by_name.get(&name).copied() else {
             // It may stand at the other process: what ends a call may come on any connection.
-            if self.twin.is_some() && link != NO_LINK && !self.over_names.contains(&name) {
-                effects.push(Effect::ToTwin(TwinWord::HangUp { call: name, cause }));
+            if self.twin.is_some() && caller_conn != NO_LINK && !self.over_names.contains(&name) {
+                effects.push(Effect::ToSibling(SiblingMessage::HangUp { call: name, cause }));
             }
             return;
         };
         // A call that stands belongs to no connection; a set-up is its own connection's alone to give up.
         match self.calls[&id].phase {
             Phase::Standing { .. } => {}
-            _ if self.calls[&id].link == link => {}
+            _ if self.calls[&id].caller_conn == caller_conn => {}
             _ => return,
         }
         match self.calls[&id].phase {
             Phase::Standing { at } => {
                 self.release_far(id, at, cause, effects);
                 self.note_released(name, Some(at), ReleasedBy::Caller, false);
-                self.module_outcome(id, at, Outcome::Cancelled, Reason::None, true);
+                self.module_outcome(id, at, Outcome::Cancelled, Reason::Unspecified, true);
                 self.forget(id, effects);
                 self.try_exit(effects);
             }
@@ -994,7 +1047,7 @@
         self.note_given_up(id);
         if let Some(Phase::Out { to, .. }) = self.calls.get(&id).map(|call| call.phase) {
             self.abandon(id, effects);
-            self.module_outcome(id, to, Outcome::Cancelled, Reason::None, true);
+            self.module_outcome(id, to, Outcome::Cancelled, Reason::Unspecified, true);
         }
         self.forget(id, effects);
         self.try_exit(effects);
@@ -1008,7 +1061,7 @@
         let already_out = !matches!(call.phase, Phase::Open);
         if already_out {
             // Rule 2: never two attempts at once. The module's record of the first stays true.
-            effects.push(Effect::Trace(format!("{:?} has an attempt out, second one not sent", call.name)));
+            effects.push(Effect::Log(format!("{:?} has an attempt out, second one not sent", call.name)));
             return;
         }
         call.attempts += 1;
@@ -1020,11 +1073,11 @@
         let own = self.peers.get(&to).is_some_and(|p| Some(p.number) == self.home);
         if paused || told_off || own || call.attempts > self.try_limit || self.now >= call.deadline {
             let name = call.name;
-            effects.push(Effect::Trace(format!(
+            effects.push(Effect::Log(format!(
                 "{name:?} not sent: pause {paused} told off {told_off} own {own}"
             )));
-            self.note_attempt_end(id, to, (Outcome::Moot, Reason::None), Duration::ZERO);
-            self.module_outcome(id, to, Outcome::Moot, Reason::None, false);
+            self.note_attempt_end(id, to, (Outcome::NotSent, Reason::Unspecified), Duration::ZERO);
+            self.module_outcome(id, to, Outcome::NotSent, Reason::Unspecified, false);
             return;
         }
         let left = since(self.now, call.deadline);
@@ -1040,7 +1093,7 @@
                 self.dial(to, effects);
                 // One that is gone is not dialled: whoever answers at its address is another one.
                 if self.peers.get(&to).is_none_or(|peer| peer.way == Way::Down) {
-                    self.attempt_over(id, Outcome::NoConnection, Reason::None);
+                    self.attempt_over(id, Outcome::NoConnection, Reason::Unspecified);
                 }
             }
             _ => {}
@@ -1052,27 +1105,31 @@
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else { return };
         let Phase::Out { to, on, sent } = &mut call.phase else { return };
-        let Some(Way::Up(conn)) = self.peers.get(to).map(|peer| peer.way) else { return };
-        (*on, *sent) = (Some(conn), now);
-        self.set_timer(QUIET, Timer::Quiet(conn));
+        let Some(Way::Up(exchange_conn)) = self.peers.get(to).map(|peer| peer.way) else { return };
+        (*on, *sent) = (Some(exchange_conn), now);
+        self.set_timer(QUIET, Timer::Quiet(exchange_conn));
         let Some(call) = self.calls.get(&id) else { return };
-        let word = PeerWord::SetUp {
+        let message = ExchangeMessage::SetUp {
             class: call.class.clone(),
-            key: call.key.clone(),
-            left: since(now, call.deadline),
+            called_number: call.key.clone(),
+            remaining: since(now, call.deadline),
             description: call.description.clone(),
         };
-        effects.push(Effect::ToExchange { conn, call: call.name, word });
+        effects.push(Effect::ToExchange { exchange_conn, call: call.name, message });
     }
 
     /// Calls off the attempt of a call that is out, toward the exchange only.
     fn abandon(&mut self, id: CallId, effects: &mut Vec<Effect>) {
         let Some(call) = self.calls.get(&id) else { return };
         // Where its way is gone, its loss has given the set-up up.
-        if let Phase::Out { on: Some(conn), .. } = call.phase
-            && self.conns.contains_key(&conn)
+        if let Phase::Out { on: Some(exchange_conn), .. } = call.phase
+            && self.conns.contains_key(&exchange_conn)
         {
-            effects.push(Effect::ToExchange { conn, call: call.name, word: PeerWord::GiveUp });
+            effects.push(Effect::ToExchange {
+                exchange_conn,
+                call: call.name,
+                message: ExchangeMessage::Cancel,
+            });
         }
         if let Some(call) = self.calls.get_mut(&id)
             && matches!(call.phase, Phase::Out { .. })
@@ -1084,7 +1141,7 @@
     fn cancel(&mut self, id: CallId, effects: &mut Vec<Effect>) {
         if let Some(Phase::Out { to, sent, .. }) = self.calls.get(&id).map(|call| call.phase) {
             self.abandon(id, effects);
-            self.close_attempt(id, to, sent, Outcome::Cancelled, Reason::None);
+            self.close_attempt(id, to, sent, Outcome::Cancelled, Reason::Unspecified);
         }
     }
 
@@ -1094,7 +1151,7 @@
         self.abandon(id, effects);
         // One that waited for a connection all along has proved that nothing ran.
         let outcome = if on.is_some() { Outcome::TimedOut } else { Outcome::NoConnection };
-        self.close_attempt(id, to, sent, outcome, Reason::None);
+        self.close_attempt(id, to, sent, outcome, Reason::Unspecified);
     }
 
     /// Nothing is out for the call any more, so nothing is called off either.
@@ -1120,38 +1177,45 @@
     ) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.phase = Phase::Open;
-        call.busy = reason == Reason::LinesBusy;
+        call.busy = reason == Reason::UserBusy;
         // Rule 5: what such an attempt took may stay taken for a while.
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
             call.paused_until = Some(self.now + self.release_pause);
         }
         let (attempt, took) = (call.attempts - 1, since(sent, self.now));
-        let took_ms = millis(took);
+        let elapsed_ms = millis(took);
         self.note_attempt_end(id, to, (outcome, reason), took);
-        self.events.push_back(Event::Outcome {
+        self.events.push_back(Event::AttemptEnded {
             call: id,
             attempt,
             exchange: to,
             outcome,
             reason,
-            took_ms,
-            closed: false,
+            elapsed_ms,
+            call_closed: false,
             report: None,
         });
     }
 
     /// Tells the module of an outcome that is not the end of an attempt on its way.
-    fn module_outcome(&mut self, id: CallId, at: ExchangeId, outcome: Outcome, reason: Reason, closed: bool) {
+    fn module_outcome(
+        &mut self,
+        id: CallId,
+        at: ExchangeId,
+        outcome: Outcome,
+        reason: Reason,
+        call_closed: bool,
+    ) {
         let Some(call) = self.calls.get(&id) else { return };
         let attempt = call.attempts.saturating_sub(1);
-        let event = Event::Outcome {
+        let event = Event::AttemptEnded {
             call: id,
             attempt,
             exchange: at,
             outcome,
             reason,
-            took_ms: 0.0,
-            closed,
+            elapsed_ms: 0.0,
+            call_closed,
             report: None,
         };
         self.events.push_back(event);
@@ -1159,11 +1223,11 @@
 
     /// The call of this name, if it has to do with the exchange at the other end of this way. What an
     /// exchange says of a call that has moved on from it is stale.
-    fn call_at(&self, conn: ConnId, name: CallName) -> Option<(CallId, ExchangeId)> {
-        let (id, peer) = (*self.by_name.get(&name)?, self.conns.get(&conn)?.peer);
+    fn call_at(&self, exchange_conn: ExchangeConnId, name: CallUid) -> Option<(CallId, ExchangeId)> {
+        let (id, peer) = (*self.by_name.get(&name)?, self.conns.get(&exchange_conn)?.peer);
         let there = match self.calls.get(&id)?.phase {
             // On another way it is about an earlier attempt, which was given up.
-            Phase::Out { on, .. } => on == Some(conn),
+            Phase::Out { on, .. } => on == Some(exchange_conn),
             Phase::Standing { at } => at == peer,
             Phase::Open => false,
         };
@@ -1172,13 +1236,13 @@
 
     fn answered(
         &mut self,
-        conn: ConnId,
-        name: CallName,
+        exchange_conn: ExchangeConnId,
+        name: CallUid,
         description: Option<Arc<str>>,
         effects: &mut Vec<Effect>,
     ) {
-        self.note_heard(conn);
-        let Some((id, peer)) = self.call_at(conn, name) else { return };
+        self.note_heard(exchange_conn);
+        let Some((id, peer)) = self.call_at(exchange_conn, name) else { return };
         let Some(call) = self.calls.get_mut(&id) else { return };
         let Phase::Out { sent, .. } = call.phase else { return };
         call.phase = Phase::Standing { at: peer };
@@ -1186,46 +1250,50 @@
         self.figures.completed(&std::mem::take(&mut call.class));
         call.key = None;
         let asked = call.description.take();
-        let (attempt, took_ms) = (call.attempts - 1, millis(since(sent, self.now)));
-        let (link, call) = (call.link, call.name);
+        let (attempt, elapsed_ms) = (call.attempts - 1, millis(since(sent, self.now)));
+        let (caller_conn, call) = (call.caller_conn, call.name);
         self.no_longer_open(asked.as_ref());
-        if let Some(link) = self.links.get_mut(&link) {
-            link.served = true;
+        if let Some(caller_conn) = self.links.get_mut(&caller_conn) {
+            caller_conn.served = true;
         }
-        effects.push(Effect::ToCaller { link, call, word: CallerWord::Answer { description } });
-        self.answered_on(link, effects);
+        effects.push(Effect::ToCaller {
+            caller_conn,
+            call,
+            message: CallerMessage::Answered { description },
+        });
+        self.answered_on(caller_conn, effects);
         self.note_answer(id, peer);
-        self.events.push_back(Event::Stands { call: id, attempt, exchange: peer, took_ms });
+        self.events.push_back(Event::Answered { call: id, attempt, exchange: peer, elapsed_ms });
         self.try_exit(effects);
     }
 
     fn ended(
         &mut self,
-        conn: ConnId,
-        name: CallName,
+        exchange_conn: ExchangeConnId,
+        name: CallUid,
         outcome: Outcome,
         reason: Reason,
         effects: &mut Vec<Effect>,
     ) {
-        self.note_heard(conn);
+        self.note_heard(exchange_conn);
         let unknown = !self.by_name.contains_key(&name) && !self.over_names.contains(&name);
-        if unknown && self.conns.contains_key(&conn) {
-            if self.twin.is_some() && matches!(outcome, Outcome::Ended | Outcome::Reset) {
+        if unknown && self.conns.contains_key(&exchange_conn) {
+            if self.twin.is_some() && matches!(outcome, Outcome::Completed | Outcome::Reset) {
                 let cut = outcome == Outcome::Reset;
-                return effects.push(Effect::ToTwin(TwinWord::Ended { call: name, cut }));
+                return effects.push(Effect::ToSibling(SiblingMessage::Ended { call: name, cut }));
             }
             return self.pass_release(name, outcome, effects);
         }
-        let Some((id, peer)) = self.call_at(conn, name) else { return };
+        let Some((id, peer)) = self.call_at(exchange_conn, name) else { return };
         match self.calls[&id].phase {
             Phase::Standing { .. } => self.end_standing(id, peer, outcome, ReleasedBy::Exchange, effects),
             // A normal end before any answer: the call stood, its answer was lost, and now it is over. Guards
             // against setting it up once more, under an id that is over for the exchange and its caller.
-            Phase::Out { sent, .. } if outcome == Outcome::Ended => {
-                self.note_attempt_end(id, peer, (Outcome::Ended, reason), since(sent, self.now));
-                self.module_outcome(id, peer, Outcome::Reset, Reason::None, true);
+            Phase::Out { sent, .. } if outcome == Outcome::Completed => {
+                self.note_attempt_end(id, peer, (Outcome::Completed, reason), since(sent, self.now));
+                self.module_outcome(id, peer, Outcome::Reset, Reason::Unspecified, true);
                 self.attempt_ended(id);
-                self.conclude(id, CallerWord::Failed { busy: false }, effects);
+                self.conclude(id, CallerMessage::Failed { busy: false }, effects);
             }
             _ => self.attempt_over(id, outcome, reason),
         }
@@ -1233,15 +1301,15 @@
 
     /// The end of a call that nobody here has ever heard of: it stood before the last start, and its caller,
     /// whom the front knows, still has to be told.
-    fn pass_release(&mut self, call: CallName, outcome: Outcome, effects: &mut Vec<Effect>) {
-        if !matches!(outcome, Outcome::Ended | Outcome::Reset) {
+    fn pass_release(&mut self, call: CallUid, outcome: Outcome, effects: &mut Vec<Effect>) {
+        if !matches!(outcome, Outcome::Completed | Outcome::Reset) {
             return;
         }
         self.over_names.insert(call);
         self.over.push_back((self.now, call));
         self.note_released(call, None, ReleasedBy::Exchange, outcome == Outcome::Reset);
-        let word = CallerWord::Released { cut: outcome == Outcome::Reset };
-        self.release_caller(NO_LINK, self.held(Front::Platform, call, word), effects);
+        let word = CallerMessage::Released { cut: outcome == Outcome::Reset };
+        self.release_caller(NO_LINK, self.held(Front::JsonLines, call, word), effects);
     }
 
     /// A call that stood is over on the far side: its caller is told, whichever way is open.
@@ -1253,19 +1321,23 @@
         by: ReleasedBy,
         effects: &mut Vec<Effect>,
     ) {
-        let outcome = if outcome == Outcome::Ended { Outcome::Ended } else { Outcome::Reset };
+        let outcome = if outcome == Outcome::Completed { Outcome::Completed } else { Outcome::Reset };
         if let Some(name) = self.calls.get(&id).map(|call| call.name) {
             self.note_released(name, Some(at), by, outcome == Outcome::Reset);
         }
-        self.module_outcome(id, at, outcome, Reason::None, true);
-        self.conclude(id, CallerWord::Released { cut: outcome == Outcome::Reset }, effects);
+        self.module_outcome(id, at, outcome, Reason::Unspecified, true);
+        self.conclude(id, CallerMessage::Released { cut: outcome == Outcome::Reset }, effects);
     }
 
     fn release_far(&mut self, id: CallId, at: ExchangeId, cause: u8, effects: &mut Vec<Effect>) {
         let call = self.calls[&id].name;
         match self.peers.get(&at).map(|peer| peer.way) {
-            Some(Way::Up(conn)) => {
-                effects.push(Effect::ToExchange { conn, call, word: PeerWord::Release { cause } });
+            Some(Way::Up(exchange_conn)) => {
+                effects.push(Effect::ToExchange {
+                    exchange_conn,
+                    call,
+                    message: ExchangeMessage::Release { cause },
+                });
             }
             Some(way) => {
                 if let Some(peer) = self.peers.get_mut(&at) {
--- a/src/engine/notes.rs
+++ b/src/engine/notes.rs
@@ -6,12 +6,12 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use swiftlb_record::{
-    AttemptOutcome, Call as RecordedCall, Cause, Drainer, Event, FailedWhy, Front as RecordedFront, Listing,
-    Record, RefusedWhy, ReleasedBy, WayChange,
+    AttemptOutcome, AttemptReason, CallUid as RecordedCall, ConnectionChange, DrainSource, Event,
+    FailureReason, Front as RecordedFront, ListedReadiness, Record, RefusalReason, ReleasedBy,
 };
 
 use super::{
-    Call, CallId, CallName, Effect, Engine, Entry, ExchangeId, Front, Number, Outcome, Readiness, Reason,
+    Call, CallId, CallUid, Effect, Engine, ExchangeId, Front, ListEntry, Number, Outcome, Readiness, Reason,
     Timer, since,
 };
 
@@ -43,51 +43,51 @@
     ms.clamp(0.0, f64::from(u32::MAX)) as u32
 }
 
-fn recorded(name: CallName) -> RecordedCall {
+fn recorded(name: CallUid) -> RecordedCall {
     RecordedCall(u64::from_str_radix(name.as_str(), 16).unwrap_or_default())
 }
 
-fn listing(readiness: Readiness) -> Listing {
+fn listing(readiness: Readiness) -> ListedReadiness {
     match readiness {
-        Readiness::Ready => Listing::Ready,
-        Readiness::Draining => Listing::Draining,
-        Readiness::Gone => Listing::Gone,
+        Readiness::Ready => ListedReadiness::Ready,
+        Readiness::Draining => ListedReadiness::Draining,
+        Readiness::Removed => ListedReadiness::Removed,
     }
 }
 
 fn outcome_of(outcome: Outcome) -> AttemptOutcome {
     match outcome {
-        Outcome::Ended => AttemptOutcome::AnswerLost,
+        Outcome::Completed => AttemptOutcome::AnswerLost,
         Outcome::Busy => AttemptOutcome::Busy,
-        Outcome::Full => AttemptOutcome::Full,
+        Outcome::Congested => AttemptOutcome::Congested,
         Outcome::TimedOut => AttemptOutcome::TimedOut,
         Outcome::NoConnection => AttemptOutcome::NoConnection,
         Outcome::Reset => AttemptOutcome::Reset,
         Outcome::Cancelled => AttemptOutcome::Cancelled,
-        Outcome::Moot => AttemptOutcome::Moot,
+        Outcome::NotSent => AttemptOutcome::NotSent,
     }
 }
 
-fn cause_of(reason: Reason) -> Cause {
+fn cause_of(reason: Reason) -> AttemptReason {
     match reason {
-        Reason::None => Cause::None,
-        Reason::NoCircuit => Cause::NoCircuit,
-        Reason::TurnedBack => Cause::TurnedBack,
-        Reason::FullBeyond => Cause::FullBeyond,
-        Reason::ProcessorFull(wait_ms) => Cause::ProcessorFull(whole_millis(wait_ms)),
-        Reason::LinesBusy => Cause::LinesBusy,
+        Reason::Unspecified => AttemptReason::Unspecified,
+        Reason::NoCircuit => AttemptReason::NoCircuit,
+        Reason::CrankBack => AttemptReason::CrankBack,
+        Reason::DestinationFull => AttemptReason::DestinationFull,
+        Reason::ProcessorFull(wait_ms) => AttemptReason::ProcessorFull(whole_millis(wait_ms)),
+        Reason::UserBusy => AttemptReason::UserBusy,
     }
 }
 
 /// How the last attempt of a call ended, for the reason of its refusal.
-pub(super) type LastEnd = (AttemptOutcome, Cause);
+pub(super) type LastEnd = (AttemptOutcome, AttemptReason);
 
 impl Engine {
     /// Records from now on, beginning with all that a reader has to know first.
-    pub fn record(&mut self, inherited: bool, effects: &mut Vec<Effect>) {
+    pub fn record(&mut self, is_replacement: bool, effects: &mut Vec<Effect>) {
         self.notes.on = true;
         let version = env!("CARGO_PKG_VERSION").to_owned();
-        self.note(|engine| Event::Started { version, home: engine.home, inherited });
+        self.note(|engine| Event::Started { version, home: engine.home, is_replacement });
         self.note_classes();
         let ids: Vec<ExchangeId> = self.peers.keys().copied().collect();
         for id in ids {
@@ -124,7 +124,7 @@
         id: CallId,
         dest: Number,
         transit_from: Option<Number>,
-        again: bool,
+        was_cut: bool,
     ) {
         self.note(|engine| {
             let call = &engine.calls[&id];
@@ -134,11 +134,11 @@
                 class: class.unwrap_or_default() as u8,
                 dest,
                 transit_from,
-                left_ms: since(engine.now, call.deadline).as_millis() as u32,
-                again,
+                remaining_ms: since(engine.now, call.deadline).as_millis() as u32,
+                was_cut,
                 front: match call.front {
-                    Front::Platform => RecordedFront::Platform,
-                    Front::Handsets => RecordedFront::Handsets,
+                    Front::JsonLines => RecordedFront::JsonLines,
+                    Front::Iax2 => RecordedFront::Iax2,
                 },
             }
         });
@@ -148,11 +148,16 @@
         self.peers.get(&id).map_or(u32::MAX, |peer| peer.number)
     }
 
-    pub(super) fn note_attempt(&mut self, id: CallId, to: ExchangeId, waits: bool) {
+    pub(super) fn note_attempt(&mut self, id: CallId, to: ExchangeId, awaits_connection: bool) {
         self.note(|engine| {
             let call = &engine.calls[&id];
             let attempt = call.attempts.min(255) as u8;
-            Event::Attempt { call: recorded(call.name), attempt, exchange: engine.number_of(to), waits }
+            Event::Attempt {
+                call: recorded(call.name),
+                attempt,
+                exchange: engine.number_of(to),
+                awaits_connection,
+            }
         });
     }
 
@@ -164,40 +169,40 @@
         (outcome, reason): (Outcome, Reason),
         took: Duration,
     ) {
-        let (outcome, cause) = (outcome_of(outcome), cause_of(reason));
+        let (outcome, reason) = (outcome_of(outcome), cause_of(reason));
         if let Some(call) = self.calls.get_mut(&id) {
-            call.last_end = Some((outcome, cause));
+            call.last_end = Some((outcome, reason));
         }
         self.note(|engine| {
             let call = &engine.calls[&id];
-            let (attempt, took_us) = (call.attempts.min(255) as u8, micros(took));
+            let (attempt, elapsed_us) = (call.attempts.min(255) as u8, micros(took));
             let (call, exchange) = (recorded(call.name), engine.number_of(to));
-            Event::AttemptEnd { call, attempt, exchange, outcome, cause, took_us }
+            Event::AttemptEnded { call, attempt, exchange, outcome, reason, elapsed_us }
         });
     }
 
     pub(super) fn note_answer(&mut self, id: CallId, at: ExchangeId) {
         self.note(|engine| {
             let call = &engine.calls[&id];
-            let took_us = micros(since(call.came, engine.now));
-            Event::Answer { call: recorded(call.name), exchange: engine.number_of(at), took_us }
+            let elapsed_us = micros(since(call.came, engine.now));
+            Event::Answered { call: recorded(call.name), exchange: engine.number_of(at), elapsed_us }
         });
     }
 
     /// The decisions turned a call away.
     pub(super) fn note_refused(&mut self, call: &Call, wait: Duration) {
         let why = match call.last_end {
-            Some((outcome, cause)) => RefusedWhy::After(outcome, cause),
-            None if self.lacks_circuits(call) => RefusedWhy::NoCircuit,
-            None => RefusedWhy::Shed,
+            Some((outcome, cause)) => RefusalReason::AfterAttempt(outcome, cause),
+            None if self.lacks_circuits(call) => RefusalReason::NoCircuit,
+            None => RefusalReason::Shed,
         };
         self.note_refusal(call.name, why, wait);
     }
 
-    pub(super) fn note_refusal(&mut self, name: CallName, why: RefusedWhy, wait: Duration) {
-        self.figures.refused_for(why.word());
-        let wait_ms = wait.as_millis() as u32;
-        self.note(|_| Event::Refused { call: recorded(name), why, wait_ms });
+    pub(super) fn note_refusal(&mut self, name: CallUid, reason: RefusalReason, wait: Duration) {
+        self.figures.refused_for(reason.label());
+        let retry_after_ms = wait.as_millis() as u32;
+        self.note(|_| Event::Refused { call: recorded(name), reason, retry_after_ms });
     }
 
     /// Whether the group straight to a call's exchange has too few circuits free for it, as last heard.
@@ -208,28 +213,22 @@
 
     pub(super) fn note_failed(&mut self, call: &Call, busy: bool) {
         let why = match call.last_end {
-            _ if busy => FailedWhy::Busy,
-            Some((outcome, cause)) => FailedWhy::After(outcome, cause),
-            None => FailedWhy::NoRoute,
+            _ if busy => FailureReason::Busy,
+            Some((outcome, cause)) => FailureReason::AfterAttempt(outcome, cause),
+            None => FailureReason::NoRoute,
         };
         self.note_failure(call.name, why);
     }
 
-    pub(super) fn note_failure(&mut self, name: CallName, why: FailedWhy) {
-        self.note(|_| Event::Failed { call: recorded(name), why });
+    pub(super) fn note_failure(&mut self, name: CallUid, reason: FailureReason) {
+        self.note(|_| Event::Failed { call: recorded(name), reason });
     }
 
     pub(super) fn note_given_up(&mut self, id: CallId) {
-        self.note(|engine| Event::GivenUp { call: recorded(engine.calls[&id].name) });
+        self.note(|engine| Event::Abandoned { call: recorded(engine.calls[&id].name) });
     }
 
-    pub(super) fn note_released(
-        &mut self,
-        name: CallName,
-        at: Option<ExchangeId>,
-        by: ReleasedBy,
-        cut: bool,
-    ) {
+    pub(super) fn note_released(&mut self, name: CallUid, at: Option<ExchangeId>, by: ReleasedBy, cut: bool) {
         self.note(|engine| {
             let exchange = at.map(|id| engine.number_of(id));
             Event::Released { call: recorded(name), exchange, by, cut }
@@ -244,17 +243,17 @@
                 exchange: peer.number,
                 name: peer.name.to_string(),
                 zone: peer.zone,
-                listing: listing(peer.readiness),
-                born_us: peer.born.map_or(0, unix_micros),
+                readiness: listing(peer.readiness),
+                started_us: peer.born.map_or(0, unix_micros),
             }
         });
     }
 
     /// Whether the list says something else of an exchange than it did.
-    pub(super) fn differs(&self, id: ExchangeId, entry: &Entry) -> bool {
+    pub(super) fn differs(&self, id: ExchangeId, entry: &ListEntry) -> bool {
         self.peers.get(&id).is_none_or(|peer| {
             (peer.readiness, peer.number, peer.zone, peer.born)
-                != (entry.readiness, entry.number, entry.zone, entry.born)
+                != (entry.readiness, entry.number, entry.zone, entry.started_at)
         })
     }
 
@@ -265,8 +264,8 @@
         });
     }
 
-    pub(super) fn note_way(&mut self, id: ExchangeId, change: WayChange) {
-        self.note(|engine| Event::Way { exchange: engine.number_of(id), change });
+    pub(super) fn note_way(&mut self, id: ExchangeId, change: ConnectionChange) {
+        self.note(|engine| Event::ExchangeConnection { exchange: engine.number_of(id), change });
     }
 
     /// The process ends; noted once.
@@ -276,7 +275,7 @@
         }
     }
 
-    pub(super) fn note_drain(&mut self, on: bool, by: Drainer) {
+    pub(super) fn note_drain(&mut self, on: bool, by: DrainSource) {
         self.note(|_| Event::Drain { on, by });
     }
 
@@ -285,10 +284,10 @@
         self.set_timer(BELIEFS_EVERY, Timer::Beliefs);
         let open = self.links.len();
         if std::mem::replace(&mut self.notes.links, open) != open {
-            self.note(|_| Event::Links { open: open as u32 });
+            self.note(|_| Event::CallerConnections { open: open as u32 });
         }
         let others =
-            |peer: &&super::Peer| peer.readiness != Readiness::Gone && Some(peer.number) != self.home;
+            |peer: &&super::Peer| peer.readiness != Readiness::Removed && Some(peer.number) != self.home;
         let listed: Vec<(ExchangeId, u32)> =
             self.peers.iter().filter(|(_, peer)| others(peer)).map(|(id, peer)| (*id, peer.number)).collect();
         let counts = self.calls_by_exchange();
@@ -297,12 +296,12 @@
             let is = self.module.avoids(id);
             let was = self.notes.avoided.iter().any(|(known, avoided)| *known == id && *avoided);
             if is != was {
-                self.note(|_| Event::Level { exchange, avoided: is });
+                self.note(|_| Event::Avoidance { exchange, avoided: is });
             }
             avoided.push((id, is));
             let expected_ms = whole_millis(self.module.expected_delay(id));
-            let out = counts.get(&id).map_or(0, |(out, _)| *out) as u32;
-            self.note(|_| Event::Delay { exchange, expected_ms, out });
+            let open_attempts = counts.get(&id).map_or(0, |(open_attempts, _)| *open_attempts) as u32;
+            self.note(|_| Event::ExpectedDelay { exchange, expected_ms, open_attempts });
         }
         self.notes.avoided = avoided;
     }
