--- a/src/engine/peers.rs
+++ b/src/engine/peers.rs
@@ -10,11 +10,12 @@
 use std::time::{Duration, SystemTime};
 
 use super::{
-    Call, CallId, CallName, ConnId, Effect, Engine, Entry, Event, ExchangeId, FORGET, LAST_WORDS, ListKind,
-    Listed, Number, Outcome, PeerWord, Phase, REDIAL, Readiness, Reason, Timer, clock, since,
+    Call, CallId, CallUid, Effect, Engine, Event, ExchangeConnId, ExchangeId, ExchangeMessage, FORGET,
+    LAST_WORDS, ListEntry, ListUpdateKind, ListedExchange, Number, Outcome, Phase, REDIAL, Readiness, Reason,
+    Timer, clock, since,
 };
-use crate::interface::Report;
-use swiftlb_record::{ReleasedBy, WayChange};
+use crate::interface::LoadReport;
+use swiftlb_record::{ConnectionChange, ReleasedBy};
 
 /// Cause of a normal end.
 const NORMAL: u8 = 16;
@@ -40,9 +41,9 @@
     /// None open.
     Down,
     /// One is being opened.
-    Dialling(ConnId),
+    Dialling(ExchangeConnId),
     /// One is open.
-    Up(ConnId),
+    Up(ExchangeConnId),
 }
 
 /// One connection to an exchange.
@@ -66,11 +67,11 @@
     pub(super) told_at: SystemTime,
     pub(super) way: Way,
     /// Being opened beside the way, to take its place.
-    spare: Option<ConnId>,
+    spare: Option<ExchangeConnId>,
     /// No connection has come up since then.
     unreachable: Option<SystemTime>,
     /// Releases that wait for a way.
-    pub(super) releases: Vec<(CallName, u8)>,
+    pub(super) releases: Vec<(CallUid, u8)>,
     redialling: bool,
     watched: bool,
     /// It tells of its group.
@@ -91,16 +92,21 @@
         id
     }
 
-    pub(super) fn learn_list(&mut self, entries: Vec<Entry>, kind: ListKind, effects: &mut Vec<Effect>) {
+    pub(super) fn learn_list(
+        &mut self,
+        entries: Vec<ListEntry>,
+        kind: ListUpdateKind,
+        effects: &mut Vec<Effect>,
+    ) {
         let mut listed = Vec::with_capacity(entries.len());
         for entry in entries {
             let id = self.peer_id(&entry.name);
             let differs = self.differs(id, &entry);
-            listed.push(Listed {
+            listed.push(ListedExchange {
                 id,
                 number: entry.number,
                 zone: entry.zone,
-                born_ms: entry.born.map_or(0.0, clock),
+                started_ms: entry.started_at.map_or(0.0, clock),
                 readiness: entry.readiness,
             });
             let now = self.now;
@@ -109,7 +115,7 @@
                 address: entry.address,
                 number: entry.number,
                 zone: entry.zone,
-                born: entry.born,
+                born: entry.started_at,
                 readiness: entry.readiness,
                 told_at: now,
                 way: Way::Down,
@@ -125,7 +131,7 @@
                 (peer.readiness, peer.told_at) = (entry.readiness, now);
             }
             (peer.address, peer.number) = (entry.address, entry.number);
-            (peer.zone, peer.born) = (entry.zone, entry.born);
+            (peer.zone, peer.born) = (entry.zone, entry.started_at);
             if differs {
                 self.note_exchange(id);
             }
@@ -133,12 +139,12 @@
         let gone: Vec<ExchangeId> = self
             .peers
             .iter()
-            .filter(|(id, peer)| peer.readiness != Readiness::Gone && !listed.iter().any(|l| l.id == **id))
+            .filter(|(id, peer)| peer.readiness != Readiness::Removed && !listed.iter().any(|l| l.id == **id))
             .map(|(id, _)| *id)
             .collect();
         for id in gone {
             if let Some(peer) = self.peers.get_mut(&id) {
-                (peer.readiness, peer.told_at) = (Readiness::Gone, self.now);
+                (peer.readiness, peer.told_at) = (Readiness::Removed, self.now);
             }
             self.note_exchange(id);
             self.set_timer(LAST_WORDS, Timer::Bury(id));
@@ -157,17 +163,17 @@
         self.events.push_back(Event::List { kind, entries: listed });
     }
 
-    fn dial_as(&mut self, id: ExchangeId, effects: &mut Vec<Effect>) -> Option<ConnId> {
+    fn dial_as(&mut self, id: ExchangeId, effects: &mut Vec<Effect>) -> Option<ExchangeConnId> {
         let (now, peer) = (self.now, self.peers.get(&id)?);
-        if peer.readiness == Readiness::Gone || Some(peer.number) == self.home {
+        if peer.readiness == Readiness::Removed || Some(peer.number) == self.home {
             return None;
         }
         self.last_conn += 1;
-        let conn = self.last_conn;
-        self.conns.insert(conn, Conn { peer: id, up: now, heard: now, bound: false });
+        let exchange_conn = self.last_conn;
+        self.conns.insert(exchange_conn, Conn { peer: id, up: now, heard: now, bound: false });
         let (name, number, address) = (peer.name.clone(), peer.number, peer.address);
-        effects.push(Effect::Connect { conn, peer: id, name, number, address });
-        Some(conn)
+        effects.push(Effect::ConnectExchange { exchange_conn, exchange: id, name, number, address });
+        Some(exchange_conn)
     }
 
     /// Opens a way to an exchange that is not gone: news of its group comes only on an open one.
@@ -175,10 +181,10 @@
         if self.peers.get(&id).is_none_or(|peer| peer.way != Way::Down) {
             return;
         }
-        if let Some(conn) = self.dial_as(id, effects)
+        if let Some(exchange_conn) = self.dial_as(id, effects)
             && let Some(peer) = self.peers.get_mut(&id)
         {
-            peer.way = Way::Dialling(conn);
+            peer.way = Way::Dialling(exchange_conn);
         }
     }
 
@@ -192,7 +198,7 @@
     fn redial_later(&mut self, id: ExchangeId) {
         if let Some(peer) = self.peers.get_mut(&id)
             && !peer.redialling
-            && peer.readiness != Readiness::Gone
+            && peer.readiness != Readiness::Removed
         {
             peer.redialling = true;
             self.set_timer(REDIAL, Timer::Redial(id));
@@ -200,9 +206,9 @@
     }
 
     /// Something has come on a way.
-    pub(super) fn note_heard(&mut self, conn: ConnId) {
+    pub(super) fn note_heard(&mut self, exchange_conn: ExchangeConnId) {
         let now = self.now;
-        if let Some(held) = self.conns.get_mut(&conn) {
+        if let Some(held) = self.conns.get_mut(&exchange_conn) {
             held.heard = now;
             if let Some(peer) = self.peers.get_mut(&held.peer) {
                 peer.unreachable = None;
@@ -210,30 +216,39 @@
         }
     }
 
-    pub(super) fn connected(&mut self, conn: ConnId, bound: bool, effects: &mut Vec<Effect>) {
+    pub(super) fn connected(
+        &mut self,
+        exchange_conn: ExchangeConnId,
+        bound: bool,
+        effects: &mut Vec<Effect>,
+    ) {
         let now = self.now;
-        let Some(held) = self.conns.get_mut(&conn) else {
+        let Some(held) = self.conns.get_mut(&exchange_conn) else {
             // It was given up while it was being opened, and nobody else would ever close it.
-            effects.push(Effect::Close { conn });
+            effects.push(Effect::CloseExchangeConn { exchange_conn });
             return;
         };
         (held.up, held.heard, held.bound) = (now, now, bound);
         let id = held.peer;
         let Some(peer) = self.peers.get_mut(&id) else { return };
         peer.unreachable = None;
-        if peer.spare == Some(conn) {
+        if peer.spare == Some(exchange_conn) {
             peer.spare = None;
         }
-        if let Way::Up(old) = std::mem::replace(&mut peer.way, Way::Dialling(conn)) {
+        if let Way::Up(old) = std::mem::replace(&mut peer.way, Way::Dialling(exchange_conn)) {
             self.close_way(old, effects);
         }
         let Some(peer) = self.peers.get_mut(&id) else { return };
-        peer.way = Way::Up(conn);
-        self.note_way(id, WayChange::Up);
+        peer.way = Way::Up(exchange_conn);
+        self.note_way(id, ConnectionChange::Up);
         let Some(peer) = self.peers.get_mut(&id) else { return };
         // Releases first: a set-up that comes again may have left a call standing there under the same id.
         for (call, cause) in std::mem::take(&mut peer.releases) {
-            effects.push(Effect::ToExchange { conn, call, word: PeerWord::Release { cause } });
+            effects.push(Effect::ToExchange {
+                exchange_conn,
+                call,
+                message: ExchangeMessage::Release { cause },
+            });
         }
         let waits = |call: &Call| matches!(call.phase, Phase::Out { to, on: None, .. } if to == id);
         for call in self.calls_where(waits) {
@@ -241,12 +256,17 @@
         }
     }
 
-    pub(super) fn connect_failed(&mut self, conn: ConnId, refused: bool, effects: &mut Vec<Effect>) {
-        let Some(id) = self.conns.remove(&conn).map(|held| held.peer) else { return };
+    pub(super) fn connect_failed(
+        &mut self,
+        exchange_conn: ExchangeConnId,
+        refused: bool,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(id) = self.conns.remove(&exchange_conn).map(|held| held.peer) else { return };
         let now = self.now;
-        self.note_way(id, if refused { WayChange::Refused } else { WayChange::TimedOut });
+        self.note_way(id, if refused { ConnectionChange::Refused } else { ConnectionChange::TimedOut });
         let Some(peer) = self.peers.get_mut(&id) else { return };
-        if peer.spare == Some(conn) {
+        if peer.spare == Some(exchange_conn) {
             peer.spare = None;
         } else {
             peer.way = Way::Down;
@@ -264,23 +284,23 @@
     fn fail_waiting(&mut self, id: ExchangeId) {
         let waits = |call: &Call| matches!(call.phase, Phase::Out { to, on: None, .. } if to == id);
         for call in self.calls_where(waits) {
-            self.attempt_over(call, Outcome::NoConnection, Reason::None);
+            self.attempt_over(call, Outcome::NoConnection, Reason::Unspecified);
         }
     }
 
     /// A way has broken, was closed, or is of no further use. The set-ups out on it are over, as far as this
     /// softswitch can tell; calls that stand belong to no connection.
-    pub(super) fn connection_lost(&mut self, conn: ConnId, effects: &mut Vec<Effect>) {
-        let Some(held) = self.conns.remove(&conn) else { return };
+    pub(super) fn connection_lost(&mut self, exchange_conn: ExchangeConnId, effects: &mut Vec<Effect>) {
+        let Some(held) = self.conns.remove(&exchange_conn) else { return };
         let (id, now) = (held.peer, self.now);
-        self.note_way(id, WayChange::Lost);
-        self.reset_out(conn, id, effects);
+        self.note_way(id, ConnectionChange::Lost);
+        self.reset_out(exchange_conn, id, effects);
         let Some(peer) = self.peers.get_mut(&id) else { return };
-        if peer.way != Way::Up(conn) {
+        if peer.way != Way::Up(exchange_conn) {
             return;
         }
         peer.way = peer.spare.take().map_or(Way::Down, Way::Dialling);
-        if peer.readiness == Readiness::Gone {
+        if peer.readiness == Readiness::Removed {
             self.cut_standing(id, effects);
         } else if held.bound {
             self.cut_standing(id, effects);
@@ -294,15 +314,16 @@
 
     /// Ends the attempts that went out on a way that is no more. Some may have run, and stand at the exchange
     /// with their circuits taken: it is told that they are over, on the way that is open or on the next.
-    fn reset_out(&mut self, conn: ConnId, id: ExchangeId, effects: &mut Vec<Effect>) {
-        let out_there = |call: &Call| matches!(call.phase, Phase::Out { on, .. } if on == Some(conn));
+    fn reset_out(&mut self, exchange_conn: ExchangeConnId, id: ExchangeId, effects: &mut Vec<Effect>) {
+        let out_there =
+            |call: &Call| matches!(call.phase, Phase::Out { on, .. } if on == Some(exchange_conn));
         for call in self.calls_where(out_there) {
             let name = self.calls[&call].name;
-            self.attempt_over(call, Outcome::Reset, Reason::None);
+            self.attempt_over(call, Outcome::Reset, Reason::Unspecified);
             match self.peers.get_mut(&id) {
-                Some(Peer { way: Way::Up(open), .. }) if *open != conn => {
-                    let (conn, word) = (*open, PeerWord::GiveUp);
-                    effects.push(Effect::ToExchange { conn, call: name, word });
+                Some(Peer { way: Way::Up(open), .. }) if *open != exchange_conn => {
+                    let (exchange_conn, message) = (*open, ExchangeMessage::Cancel);
+                    effects.push(Effect::ToExchange { exchange_conn, call: name, message });
                 }
                 Some(peer) => peer.releases.push((name, NORMAL)),
                 None => {}
@@ -313,7 +334,7 @@
     /// Looks now and then whether the way to an exchange may be dead though it is open.
     pub(super) fn watch(&mut self, id: ExchangeId, effects: &mut Vec<Effect>) {
         let Some(peer) = self.peers.get_mut(&id) else { return };
-        if peer.readiness == Readiness::Gone {
+        if peer.readiness == Readiness::Removed {
             peer.watched = false;
             return;
         }
@@ -322,8 +343,8 @@
     }
 
     /// A set-up went out on this way a moment ago.
-    pub(super) fn check_quiet(&mut self, conn: ConnId, effects: &mut Vec<Effect>) {
-        if let Some(id) = self.conns.get(&conn).map(|held| held.peer) {
+    pub(super) fn check_quiet(&mut self, exchange_conn: ExchangeConnId, effects: &mut Vec<Effect>) {
+        if let Some(id) = self.conns.get(&exchange_conn).map(|held| held.peer) {
             self.doubt(id, effects);
         }
     }
@@ -331,13 +352,13 @@
     /// Opens another way beside the one that is open, if that may be dead.
     fn doubt(&mut self, id: ExchangeId, effects: &mut Vec<Effect>) {
         let Some(peer) = self.peers.get(&id) else { return };
-        let Way::Up(conn) = peer.way else { return };
-        let Some(held) = self.conns.get(&conn).filter(|held| !held.bound) else { return };
+        let Way::Up(exchange_conn) = peer.way else { return };
+        let Some(held) = self.conns.get(&exchange_conn).filter(|held| !held.bound) else { return };
         let quiet = |from: SystemTime| since(from.max(held.heard), self.now);
         let limit = if peer.tells { QUIET } else { QUIET_UNTOLD };
         let owed = |call: &Call| {
             matches!(call.phase, Phase::Out { on, sent, .. }
-            if on == Some(conn) && held.heard <= sent && quiet(sent) >= limit)
+            if on == Some(exchange_conn) && held.heard <= sent && quiet(sent) >= limit)
         };
         let doubtful = peer.unreachable.is_some()
             || (quiet(held.up) >= SILENT
@@ -351,9 +372,9 @@
         }
     }
 
-    fn close_way(&mut self, conn: ConnId, effects: &mut Vec<Effect>) {
-        effects.push(Effect::Close { conn });
-        self.connection_lost(conn, effects);
+    fn close_way(&mut self, exchange_conn: ExchangeConnId, effects: &mut Vec<Effect>) {
+        effects.push(Effect::CloseExchangeConn { exchange_conn });
+        self.connection_lost(exchange_conn, effects);
     }
 
     /// Nothing runs at this exchange any more, whatever is still open to it.
@@ -370,20 +391,20 @@
     fn close_all(&mut self, id: ExchangeId, effects: &mut Vec<Effect>) {
         let Some(peer) = self.peers.get_mut(&id) else { return };
         let way = match std::mem::replace(&mut peer.way, Way::Down) {
-            Way::Up(conn) | Way::Dialling(conn) => Some(conn),
+            Way::Up(exchange_conn) | Way::Dialling(exchange_conn) => Some(exchange_conn),
             Way::Down => None,
         };
-        for conn in [way, peer.spare.take()].into_iter().flatten() {
-            self.conns.remove(&conn);
-            effects.push(Effect::Close { conn });
-            self.reset_out(conn, id, effects);
+        for exchange_conn in [way, peer.spare.take()].into_iter().flatten() {
+            self.conns.remove(&exchange_conn);
+            effects.push(Effect::CloseExchangeConn { exchange_conn });
+            self.reset_out(exchange_conn, id, effects);
         }
         self.fail_waiting(id);
     }
 
     /// Ends all dealings with an exchange that is no longer listed.
     pub(super) fn bury(&mut self, id: ExchangeId, effects: &mut Vec<Effect>) {
-        let Some(peer) = self.peers.get_mut(&id).filter(|peer| peer.readiness == Readiness::Gone) else {
+        let Some(peer) = self.peers.get_mut(&id).filter(|peer| peer.readiness == Readiness::Removed) else {
             return;
         };
         if since(peer.told_at, self.now) >= FORGET {
@@ -406,7 +427,7 @@
             if let Some(peer) = self.peers.get_mut(&id) {
                 peer.releases.push((self.calls[&call].name, NORMAL));
             }
-            self.end_standing(call, id, Outcome::Reset, ReleasedBy::Loss, effects);
+            self.end_standing(call, id, Outcome::Reset, ReleasedBy::ExchangeLost, effects);
         }
     }
 
@@ -418,16 +439,16 @@
     }
 
     /// News of the group toward an exchange has come unasked.
-    pub(super) fn group_told(&mut self, conn: ConnId, report: Report) {
-        let peer = self.conns.get(&conn).and_then(|held| self.peers.get_mut(&held.peer));
+    pub(super) fn group_told(&mut self, exchange_conn: ExchangeConnId, report: LoadReport) {
+        let peer = self.conns.get(&exchange_conn).and_then(|held| self.peers.get_mut(&held.peer));
         if let Some(peer) = peer {
             peer.tells = true;
         }
-        self.probed(conn, true, Some(report));
+        self.probed(exchange_conn, true, Some(report));
     }
 
     /// Keeps what a report says of the group, for whoever looks at this softswitch or at its records.
-    fn learn_group(&mut self, id: ExchangeId, report: Option<&Report>) {
+    fn learn_group(&mut self, id: ExchangeId, report: Option<&LoadReport>) {
         let (free, total) = self.in_report;
         let value = |place: Option<usize>| {
             let value = report?.get(place?).copied().filter(|value| value.is_finite() && *value >= 0.0)?;
@@ -440,11 +461,16 @@
         }
     }
 
-    pub(super) fn probed(&mut self, conn: ConnId, answered: bool, report: Option<Report>) {
-        self.note_heard(conn);
-        if let Some(exchange) = self.conns.get(&conn).map(|held| held.peer) {
+    pub(super) fn probed(
+        &mut self,
+        exchange_conn: ExchangeConnId,
+        answered: bool,
+        report: Option<LoadReport>,
+    ) {
+        self.note_heard(exchange_conn);
+        if let Some(exchange) = self.conns.get(&exchange_conn).map(|held| held.peer) {
             self.learn_group(exchange, report.as_ref());
-            self.events.push_back(Event::Probed { exchange, answered, took_ms: 0.0, report });
+            self.events.push_back(Event::ProbeResult { exchange, answered, elapsed_ms: 0.0, report });
         }
     }
 }
--- a/src/engine/twin.rs
+++ b/src/engine/twin.rs
@@ -7,8 +7,8 @@
 use swiftlb_record::ReleasedBy;
 
 use super::{
-    Belief, CONNECTED, CallName, CallerWord, Config, EMPTY_EVERY, Effect, Engine, Entry, Front, Inheritance,
-    NO_LINK, Outcome, Readiness, SettingsError, SystemTime, Timer, TwinWord, UNLISTED,
+    Belief, CONNECTED, CallUid, CallerMessage, Config, EMPTY_EVERY, Effect, Engine, Front, HandoverState,
+    ListEntry, NO_LINK, Outcome, Readiness, SettingsError, SiblingMessage, SystemTime, Timer, UNLISTED,
 };
 
 /// Descriptors of a process beside its connections to callers and exchanges: standard ones, poll, listeners, the
@@ -34,18 +34,18 @@
     /// If the module can make no decisions with these settings.
     pub fn succeed(
         config: &Config,
-        inheritance: Inheritance,
+        inheritance: HandoverState,
         now: SystemTime,
         effects: &mut Vec<Effect>,
     ) -> Result<Self, SettingsError> {
-        let Inheritance { list, serial, beliefs } = inheritance;
+        let HandoverState { list, serial, learned } = inheritance;
         let config = Config { known: list, serial, ..config.clone() };
         let mut engine = Self::new(&config, now, effects)?;
-        for (topic, name, values) in beliefs {
-            let of = name.as_ref().map(|name| engine.by_peer_name.get(name).copied());
+        for (topic, name, values) in learned {
+            let exchange = name.as_ref().map(|name| engine.by_peer_name.get(name).copied());
             // Of an exchange that is in no list any more.
-            if of != Some(None) {
-                engine.module.adopt(&Belief { topic, of: of.flatten(), values });
+            if exchange != Some(None) {
+                engine.module.adopt(&Belief { topic, exchange: exchange.flatten(), values });
             }
         }
         (engine.twin, engine.listed, engine.accepting) = (Some(Role::Predecessor), true, false);
@@ -62,7 +62,7 @@
         if !self.accepting && self.twin == Some(Role::Predecessor) && self.is_ready() {
             self.accepting = true;
             effects.push(Effect::Accept(true));
-            effects.push(Effect::ToTwin(TwinWord::Serving));
+            effects.push(Effect::ToSibling(SiblingMessage::Serving));
         }
     }
 
@@ -84,26 +84,29 @@
         };
     }
 
-    pub(super) fn hear_twin(&mut self, word: TwinWord, effects: &mut Vec<Effect>) {
+    pub(super) fn hear_twin(&mut self, word: SiblingMessage, effects: &mut Vec<Effect>) {
         match word {
-            TwinWord::Hello => self.hand_over(effects),
-            TwinWord::Serving if self.twin.is_some() => {
+            SiblingMessage::HandoverRequest => self.hand_over(effects),
+            SiblingMessage::Serving if self.twin.is_some() => {
                 self.twin = Some(Role::Successor { serving: true });
                 self.accepting = false;
                 effects.push(Effect::Accept(false));
-                effects.push(Effect::Trace("another process serves in the place of this one".to_owned()));
+                effects.push(Effect::Log("another process serves in the place of this one".to_owned()));
                 if self.draining_since.is_some() {
                     self.leave_to_successor(effects);
                 }
             }
-            TwinWord::HangUp { call, cause } => self.hang_up(NO_LINK, call, cause, effects),
-            TwinWord::Ended { call, cut } => self.ended_at_twin(call, cut, effects),
-            TwinWord::Release { call, cut } => {
-                let word = CallerWord::Released { cut };
-                self.release_caller(NO_LINK, self.held(Front::Platform, call, word), effects);
+            SiblingMessage::HangUp { call, cause } => self.hang_up(NO_LINK, call, cause, effects),
+            SiblingMessage::Ended { call, cut } => self.ended_at_twin(call, cut, effects),
+            SiblingMessage::Release { call, cut } => {
+                let word = CallerMessage::Released { cut };
+                self.release_caller(NO_LINK, self.held(Front::JsonLines, call, word), effects);
             }
             // These come before the loop begins, or never.
-            TwinWord::Serving | TwinWord::Exchange(_) | TwinWord::Belief { .. } | TwinWord::Whole { .. } => {}
+            SiblingMessage::Serving
+            | SiblingMessage::Exchange(_)
+            | SiblingMessage::Learned { .. }
+            | SiblingMessage::HandoverComplete { .. } => {}
         }
     }
 
@@ -112,29 +115,29 @@
         self.twin = Some(Role::Successor { serving: false });
         self.divide();
         while self.links.len() > self.most_links && self.make_room(effects) {}
-        for peer in self.peers.values().filter(|peer| peer.readiness != Readiness::Gone) {
-            effects.push(Effect::ToTwin(TwinWord::Exchange(Entry {
+        for peer in self.peers.values().filter(|peer| peer.readiness != Readiness::Removed) {
+            effects.push(Effect::ToSibling(SiblingMessage::Exchange(ListEntry {
                 name: peer.name.clone(),
                 address: peer.address,
                 number: peer.number,
                 zone: peer.zone,
-                born: peer.born,
+                started_at: peer.born,
                 readiness: peer.readiness,
             })));
         }
-        for Belief { topic, of, values } in self.module.beliefs() {
-            let name: Option<Option<Arc<str>>> = of.map(|id| Some(self.peers.get(&id)?.name.clone()));
+        for Belief { topic, exchange, values } in self.module.beliefs() {
+            let name: Option<Option<Arc<str>>> = exchange.map(|id| Some(self.peers.get(&id)?.name.clone()));
             if name != Some(None) {
-                let of = name.flatten();
-                effects.push(Effect::ToTwin(TwinWord::Belief { topic, of, values }));
+                let exchange = name.flatten();
+                effects.push(Effect::ToSibling(SiblingMessage::Learned { topic, exchange, values }));
             }
         }
-        effects.push(Effect::ToTwin(TwinWord::Whole { serial: self.serial }));
+        effects.push(Effect::ToSibling(SiblingMessage::HandoverComplete { serial: self.serial }));
     }
 
     /// The other process knows nothing of a call that an exchange says is over.
-    fn ended_at_twin(&mut self, name: CallName, cut: bool, effects: &mut Vec<Effect>) {
-        let outcome = if cut { Outcome::Reset } else { Outcome::Ended };
+    fn ended_at_twin(&mut self, name: CallUid, cut: bool, effects: &mut Vec<Effect>) {
+        let outcome = if cut { Outcome::Reset } else { Outcome::Completed };
         match self.by_name.get(&name).copied().map(|id| (id, self.calls[&id].phase)) {
             Some((id, super::Phase::Standing { at })) => {
                 self.end_standing(id, at, outcome, ReleasedBy::Exchange, effects);
@@ -162,9 +165,10 @@
         }
         self.set_timer(EMPTY_EVERY, Timer::Leave);
         let open = self.links_in_use();
-        let empty: Vec<_> = self.links.keys().filter(|link| !open.contains(link)).copied().collect();
-        for link in empty {
-            self.close_if_empty(link, effects);
+        let empty: Vec<_> =
+            self.links.keys().filter(|caller_conn| !open.contains(caller_conn)).copied().collect();
+        for caller_conn in empty {
+            self.close_if_empty(caller_conn, effects);
         }
         self.try_exit(effects);
     }
@@ -173,7 +177,7 @@
     pub(super) fn lose_twin(&mut self, effects: &mut Vec<Effect>) {
         let Some(role) = self.twin.take() else { return };
         self.divide();
-        effects.push(Effect::Trace(format!("the other process is gone ({role:?})")));
+        effects.push(Effect::Log(format!("the other process is gone ({role:?})")));
         if !std::mem::replace(&mut self.accepting, true) {
             effects.push(Effect::Accept(true));
         }
--- a/src/engine/view.rs
+++ b/src/engine/view.rs
@@ -24,12 +24,14 @@
     pub(super) fn fleet(&self) -> Fleet {
         let counts = self.calls_by_exchange();
         let stands: usize = counts.values().map(|(_, standing)| standing).sum();
-        let listed = self.peers.iter().filter(|(_, peer)| peer.readiness != Readiness::Gone);
+        let listed = self.peers.iter().filter(|(_, peer)| peer.readiness != Readiness::Removed);
         let mut exchanges: Vec<Seen> = listed
             .map(|(id, peer)| {
                 let own = Some(peer.number) == self.home;
                 let heard = match peer.way {
-                    Way::Up(conn) => self.conns.get(&conn).map(|held| since(held.heard, self.now)),
+                    Way::Up(exchange_conn) => {
+                        self.conns.get(&exchange_conn).map(|held| since(held.heard, self.now))
+                    }
                     _ => None,
                 };
                 let (out, standing) = counts.get(id).copied().unwrap_or_default();
--- a/src/iax2/element.rs
+++ b/src/iax2/element.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::frame::FrameError;
-use crate::engine::{CallerWord, millis};
+use crate::engine::{CallerMessage, millis};
 use crate::interface::{Outcome, Reason};
 
 const CALLED_NUMBER: u8 = 0x01;
@@ -106,16 +106,20 @@
 const ADVICE: &str = "retry after ";
 
 /// What a caller is told at the end of a call: cause and words.
-pub fn cause_of(word: &CallerWord) -> Elements {
+pub fn cause_of(word: &CallerMessage) -> Elements {
     match word {
-        CallerWord::Refused { wait } if wait.is_zero() => Elements::of_cause(34, "no circuit"),
-        CallerWord::Refused { wait } => Elements::of_cause(34, format!("{ADVICE}{:.0} ms", millis(*wait))),
-        CallerWord::Failed { busy: true } => Elements::of_cause(17, "user busy"),
-        CallerWord::Failed { busy: false } => Elements::of_cause(41, "temporary failure"),
-        CallerWord::Released { cut: true } => Elements::of_cause(41, "call cut"),
-        CallerWord::Released { cut: false } | CallerWord::Answer { .. } | CallerWord::Checked { .. } => {
-            Elements::of_cause(16, "normal clearing")
+        CallerMessage::Refused { retry_after } if retry_after.is_zero() => {
+            Elements::of_cause(34, "no circuit")
         }
+        CallerMessage::Refused { retry_after } => {
+            Elements::of_cause(34, format!("{ADVICE}{:.0} ms", millis(*retry_after)))
+        }
+        CallerMessage::Failed { busy: true } => Elements::of_cause(17, "user busy"),
+        CallerMessage::Failed { busy: false } => Elements::of_cause(41, "temporary failure"),
+        CallerMessage::Released { cut: true } => Elements::of_cause(41, "call cut"),
+        CallerMessage::Released { cut: false }
+        | CallerMessage::Answered { .. }
+        | CallerMessage::HealthCheckResult { .. } => Elements::of_cause(16, "normal clearing"),
     }
 }
 
@@ -131,12 +135,12 @@
 pub fn end_of(elements: &Elements) -> (Outcome, Reason) {
     let wait = elements.cause.as_deref().and_then(advice);
     match elements.cause_code.unwrap_or(16) {
-        0 | 16 => (Outcome::Ended, Reason::None),
-        17 => (Outcome::Busy, Reason::LinesBusy),
-        34 => (Outcome::Full, wait.map_or(Reason::NoCircuit, |w| Reason::ProcessorFull(millis(w)))),
-        42 => (Outcome::Full, Reason::ProcessorFull(millis(wait.unwrap_or_default()))),
-        41 => (Outcome::Reset, Reason::None),
-        102 => (Outcome::Moot, Reason::None),
-        _ => (Outcome::Busy, Reason::None),
+        0 | 16 => (Outcome::Completed, Reason::Unspecified),
+        17 => (Outcome::Busy, Reason::UserBusy),
+        34 => (Outcome::Congested, wait.map_or(Reason::NoCircuit, |w| Reason::ProcessorFull(millis(w)))),
+        42 => (Outcome::Congested, Reason::ProcessorFull(millis(wait.unwrap_or_default()))),
+        41 => (Outcome::Reset, Reason::Unspecified),
+        102 => (Outcome::NotSent, Reason::Unspecified),
+        _ => (Outcome::Busy, Reason::Unspecified),
     }
 }
--- a/src/iax2/mod.rs
+++ b/src/iax2/mod.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, SystemTime};
 
 use crate::config::{ConfigError, Node, parse_json};
-use crate::engine::{CallName, CallerWord, ConnId, Input, LinkId, PeerWord, SetUp};
+use crate::engine::{CallUid, CallerConnId, CallerMessage, ExchangeConnId, ExchangeMessage, Input, SetUp};
 use crate::interface::{Number, Outcome, Reason};
 use element::{Elements, G711, SPOKEN, cause_of, end_of};
 use frame::{Frame, Full, Kind, Mini, control, iax};
@@ -97,7 +97,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     Caller,
-    Node(ConnId),
+    Node(ExchangeConnId),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -112,7 +112,7 @@
 struct Line {
     leg: Leg,
     peer: SocketAddr,
-    call: CallName,
+    call: CallUid,
     role: Role,
     state: State,
     format: u32,
@@ -120,7 +120,7 @@
 
 #[derive(Debug)]
 struct Poke {
-    conn: ConnId,
+    exchange_conn: ExchangeConnId,
     address: SocketAddr,
     next: SystemTime,
     until: SystemTime,
@@ -139,26 +139,26 @@
 #[derive(Debug)]
 pub struct Endpoint {
     config: Iax2Config,
-    link: LinkId,
+    caller_conn: CallerConnId,
     names: u64,
     last_number: u16,
     lines: BTreeMap<u16, Line>,
     pokes: BTreeMap<u16, Poke>,
-    nodes: HashMap<ConnId, SocketAddr>,
+    nodes: HashMap<ExchangeConnId, SocketAddr>,
     by_remote: HashMap<(SocketAddr, u16), u16>,
-    callers: HashMap<CallName, u16>,
-    node_legs: HashMap<(CallName, ConnId), u16>,
-    standing: HashMap<CallName, u16>,
+    callers: HashMap<CallUid, u16>,
+    node_legs: HashMap<(CallUid, ExchangeConnId), u16>,
+    standing: HashMap<CallUid, u16>,
     /// Callers' numbers whose calls are over, with the time stamp of the set-up.
     recent: HashMap<(SocketAddr, u16), (u32, SystemTime)>,
 }
 
 impl Endpoint {
     /// An endpoint whose calls come on this link; the seed makes their ids.
-    pub fn new(config: Iax2Config, link: LinkId, seed: u64) -> Self {
+    pub fn new(config: Iax2Config, caller_conn: CallerConnId, seed: u64) -> Self {
         Self {
             config,
-            link,
+            caller_conn,
             names: seed,
             last_number: POKE_NUMBER,
             lines: BTreeMap::new(),
@@ -203,7 +203,8 @@
         for number in numbers {
             let Some(poke) = self.pokes.get_mut(&number) else { continue };
             if poke.until <= now {
-                out.inputs.push(Input::ConnectFailed { conn: poke.conn, refused: false });
+                out.inputs
+                    .push(Input::ExchangeConnectFailed { exchange_conn: poke.exchange_conn, refused: false });
                 self.pokes.remove(&number);
             } else if poke.next <= now {
                 poke.next = now + POKE_AGAIN;
@@ -250,8 +251,8 @@
                     *until = now + REMEMBER;
                 }
             }
-            Role::Node(conn) => {
-                self.node_legs.remove(&(line.call, conn));
+            Role::Node(exchange_conn) => {
+                self.node_legs.remove(&(line.call, exchange_conn));
                 if self.standing.get(&line.call) == Some(&number) {
                     self.standing.remove(&line.call);
                 }
@@ -267,10 +268,10 @@
             return;
         }
         out.inputs.push(match line.role {
-            Role::Caller => Input::HangUp { link: self.link, call: line.call, cause: 41 },
-            Role::Node(conn) => {
-                let (outcome, reason) = (Outcome::Reset, Reason::None);
-                Input::Ended { conn, call: line.call, outcome, reason }
+            Role::Caller => Input::HangUp { caller_conn: self.caller_conn, call: line.call, cause: 41 },
+            Role::Node(exchange_conn) => {
+                let (outcome, reason) = (Outcome::Reset, Reason::Unspecified);
+                Input::Ended { exchange_conn, call: line.call, outcome, reason }
             }
         });
     }
@@ -298,8 +299,11 @@
                 let ack = Full { source: frame.dest, dest: frame.source, oseq: 1, iseq: 1, ..frame };
                 let ack = Full { again: false, subclass: iax::ACK, payload: Vec::new(), ..ack };
                 out.datagrams.push((from, ack.write()));
-                self.nodes.insert(poke.conn, poke.address);
-                out.inputs.push(Input::Connected { conn: poke.conn, bound: true });
+                self.nodes.insert(poke.exchange_conn, poke.address);
+                out.inputs.push(Input::ExchangeConnected {
+                    exchange_conn: poke.exchange_conn,
+                    carries_calls: true,
+                });
             }
             return;
         }
@@ -353,7 +357,7 @@
         }
         let Some(number) = self.free_number() else { return };
         self.names = self.names.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let call = CallName::from_u64(scattered(self.names));
+        let call = CallUid::from_u64(scattered(self.names));
         let elements = Elements::read(&frame.payload);
         let full = self.callers.len() >= MOST_CALLERS;
         let mut leg = Leg::new(number, frame.source, now);
@@ -390,16 +394,16 @@
                 let setup = SetUp {
                     class,
                     received: now,
-                    left: None,
-                    key: Some(called),
+                    remaining: None,
+                    called_number: Some(called),
                     dest,
                     width: None,
                     transit_from: None,
-                    advised: None,
+                    advised_route: None,
                     was_cut: false,
                     description: Some(description.into()),
                 };
-                out.inputs.push(Input::SetUp { link: self.link, call, setup });
+                out.inputs.push(Input::SetUp { caller_conn: self.caller_conn, call, setup });
             }
         }
     }
@@ -422,9 +426,9 @@
                 out.inputs.push(match role {
                     Role::Caller => {
                         let cause = why.cause_code.unwrap_or(16);
-                        Input::HangUp { link: self.link, call, cause }
+                        Input::HangUp { caller_conn: self.caller_conn, call, cause }
                     }
-                    Role::Node(conn) => Input::Ended { conn, call, outcome, reason },
+                    Role::Node(exchange_conn) => Input::Ended { exchange_conn, call, outcome, reason },
                 });
             }
             return;
@@ -440,26 +444,26 @@
                     line.format = format;
                 }
             }
-            (Kind::Iax, iax::AUTHREQ, Role::Node(conn)) => {
+            (Kind::Iax, iax::AUTHREQ, Role::Node(exchange_conn)) => {
                 // No secrets are kept here: a node that asks for one cannot be used.
                 self.end(number, now, iax::HANGUP, &Elements::of_cause(21, "no credentials"), out);
-                let (outcome, reason) = (Outcome::Busy, Reason::None);
-                out.inputs.push(Input::Ended { conn, call, outcome, reason });
+                let (outcome, reason) = (Outcome::Busy, Reason::Unspecified);
+                out.inputs.push(Input::Ended { exchange_conn, call, outcome, reason });
             }
-            (Kind::Control, control::ANSWER, Role::Node(conn)) if state == State::Early => {
+            (Kind::Control, control::ANSWER, Role::Node(exchange_conn)) if state == State::Early => {
                 line.state = State::Up;
                 let description = Some(describe(line.format, line.format).into());
                 self.standing.insert(call, number);
-                out.inputs.push(Input::Answered { conn, call, description });
+                out.inputs.push(Input::Answered { exchange_conn, call, description });
             }
-            (Kind::Control, control::BUSY | control::CONGESTION, Role::Node(conn))
+            (Kind::Control, control::BUSY | control::CONGESTION, Role::Node(exchange_conn))
                 if state == State::Early =>
             {
                 let code = if frame.subclass == control::BUSY { 17 } else { 34 };
                 let why = Elements::of_cause(code, "");
                 self.end(number, now, iax::HANGUP, &why, out);
                 let (outcome, reason) = end_of(&why);
-                out.inputs.push(Input::Ended { conn, call, outcome, reason });
+                out.inputs.push(Input::Ended { exchange_conn, call, outcome, reason });
             }
             // Never answered in kind: two ends that do so would go on for ever.
             (Kind::Iax, iax::UNSUPPORT, _) => {}
@@ -519,12 +523,12 @@
     }
 
     /// Tells a caller.
-    pub fn to_caller(&mut self, now: SystemTime, call: CallName, word: &CallerWord, out: &mut Output) {
+    pub fn to_caller(&mut self, now: SystemTime, call: CallUid, word: &CallerMessage, out: &mut Output) {
         let Some(number) = self.callers.get(&call).copied() else { return };
         let Some(state) = self.lines.get(&number).map(|line| line.state) else { return };
         match (word, state) {
-            (_, State::Closing) | (CallerWord::Checked { .. }, _) => {}
-            (CallerWord::Answer { description }, _) => {
+            (_, State::Closing) | (CallerMessage::HealthCheckResult { .. }, _) => {}
+            (CallerMessage::Answered { description }, _) => {
                 self.on_leg(number, out, |line, sent| {
                     line.state = State::Up;
                     let format = description.as_deref().and_then(described_format).unwrap_or(line.format);
@@ -542,24 +546,24 @@
     pub fn to_node(
         &mut self,
         now: SystemTime,
-        conn: ConnId,
-        call: CallName,
-        word: &PeerWord,
+        exchange_conn: ExchangeConnId,
+        call: CallUid,
+        word: &ExchangeMessage,
         out: &mut Output,
     ) {
         match word {
-            PeerWord::SetUp { class, key, description, .. } => {
-                let Some(peer) = self.nodes.get(&conn).copied() else { return };
+            ExchangeMessage::SetUp { class, called_number, description, .. } => {
+                let Some(peer) = self.nodes.get(&exchange_conn).copied() else { return };
                 let Some(number) = self.free_number() else {
                     // No call number left: it never went out.
-                    let (outcome, reason) = (Outcome::Moot, Reason::None);
-                    out.inputs.push(Input::Ended { conn, call, outcome, reason });
+                    let (outcome, reason) = (Outcome::NotSent, Reason::Unspecified);
+                    out.inputs.push(Input::Ended { exchange_conn, call, outcome, reason });
                     return;
                 };
                 let format = description.as_deref().and_then(described_format);
                 let elements = Elements {
                     version: Some(SPOKEN),
-                    called_number: key.clone(),
+                    called_number: called_number.clone(),
                     called_context: Some(class.clone()),
                     capability: Some(format.unwrap_or(G711)),
                     format: Some(format.unwrap_or(G711 & G711.wrapping_neg())),
@@ -569,25 +573,32 @@
                     leg: Leg::new(number, 0, now),
                     peer,
                     call,
-                    role: Role::Node(conn),
+                    role: Role::Node(exchange_conn),
                     state: State::Early,
                     format: format.unwrap_or(G711 & G711.wrapping_neg()),
                 };
                 self.lines.insert(number, line);
-                self.node_legs.insert((call, conn), number);
+                self.node_legs.insert((call, exchange_conn), number);
                 self.on_leg(number, out, |line, sent| {
                     line.leg.send(now, Kind::Iax, iax::NEW, elements.write(), sent);
                 });
             }
-            PeerWord::GiveUp => self.end_node(now, conn, call, 16, out),
-            PeerWord::Release { cause } => self.end_node(now, conn, call, *cause, out),
+            ExchangeMessage::Cancel => self.end_node(now, exchange_conn, call, 16, out),
+            ExchangeMessage::Release { cause } => self.end_node(now, exchange_conn, call, *cause, out),
             // A node says nothing of its groups; that it answers pokes is all there is to test.
-            PeerWord::Test => {}
+            ExchangeMessage::Probe => {}
         }
     }
 
-    fn end_node(&mut self, now: SystemTime, conn: ConnId, call: CallName, cause: u8, out: &mut Output) {
-        let Some(number) = self.node_legs.get(&(call, conn)).copied() else { return };
+    fn end_node(
+        &mut self,
+        now: SystemTime,
+        exchange_conn: ExchangeConnId,
+        call: CallUid,
+        cause: u8,
+        out: &mut Output,
+    ) {
+        let Some(number) = self.node_legs.get(&(call, exchange_conn)).copied() else { return };
         if self.lines.get(&number).is_some_and(|line| line.state != State::Closing) {
             self.end(number, now, iax::HANGUP, &Elements::of_cause(cause, ""), out);
         }
@@ -597,25 +608,26 @@
     pub fn connect(
         &mut self,
         now: SystemTime,
-        conn: ConnId,
+        exchange_conn: ExchangeConnId,
         address: SocketAddr,
         limit: Duration,
         out: &mut Output,
     ) {
         let Some(number) = self.free_number() else {
-            out.inputs.push(Input::ConnectFailed { conn, refused: false });
+            out.inputs.push(Input::ExchangeConnectFailed { exchange_conn, refused: false });
             return;
         };
-        self.pokes.insert(number, Poke { conn, address, next: now + POKE_AGAIN, until: now + limit });
+        self.pokes
+            .insert(number, Poke { exchange_conn, address, next: now + POKE_AGAIN, until: now + limit });
         out.datagrams.push((address, poke_frame(number, false)));
     }
 
     /// A node that is gone: its legs are ended without a word, as nobody is there.
-    pub fn close(&mut self, now: SystemTime, conn: ConnId) {
-        self.nodes.remove(&conn);
-        self.pokes.retain(|_, poke| poke.conn != conn);
+    pub fn close(&mut self, now: SystemTime, exchange_conn: ExchangeConnId) {
+        self.nodes.remove(&exchange_conn);
+        self.pokes.retain(|_, poke| poke.exchange_conn != exchange_conn);
         let numbers: Vec<u16> =
-            self.lines.iter().filter(|(_, l)| l.role == Role::Node(conn)).map(|(n, _)| *n).collect();
+            self.lines.iter().filter(|(_, l)| l.role == Role::Node(exchange_conn)).map(|(n, _)| *n).collect();
         for number in numbers {
             self.remove(number, now);
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,88 +1,89 @@
-//! What a host tells a [`Controller`](crate::Controller) and what it gets back, in the field's terms.
+//! Interface between a host and the decision module: the events that a [`Controller`](crate::Controller) receives
+//! and the actions that it returns.
 //!
-//! No logic lives here and nothing of the wire: a host may fill these types from whatever it speaks.
+//! The types contain no logic and depend on no protocol, so a host can fill them from any source.
 
-/// Address of an exchange. Opaque: it is compared and given back, never read.
+/// Address of an exchange. Opaque to the controller, which only compares and returns it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExchangeId {
-    /// Four bytes of address, first byte first.
+    /// IPv4 address, first byte first.
     pub address: [u8; 4],
     /// Port at that address.
     pub port: u16,
 }
 
-/// Id of a call, given by the host and never used twice.
+/// Id of a call, assigned by the host and never reused.
 pub type CallId = u32;
 
 /// Number of an exchange (or pool) in the numbering plan; calls name their destination by it.
 pub type Number = u32;
 
-/// Everything a controller is told at its start.
+/// Configuration that a controller receives at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Call agents in service, this one included.
-    pub agents: u32,
-    /// Place of this agent among them, from 0.
+    /// Number of call agents in service, including this one.
+    pub agent_count: u32,
+    /// Index of this call agent, from 0.
     pub self_index: u32,
-    /// Number of the own exchange; `None` where the exchanges are pools shared by all agents.
+    /// Number of the home exchange; `None` where the exchanges are pools shared by all agents.
     pub home: Option<Number>,
-    /// Classes of call; events name them by index.
+    /// Classes of call; events refer to them by index.
     pub classes: Vec<Class>,
-    /// Tenants; events name them by index. May be empty.
+    /// Tenants; events refer to them by index. May be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a call past its tenant's share, as a part of its class's worth.
-    pub over_share_worth: f64,
-    /// Whether the list of exchanges must be asked for.
-    pub must_ask: bool,
-    /// Longest time without asking for the list before it counts as told, in ms.
-    pub ask_every_ms: f64,
+    /// Worth of a call beyond its tenant's quota, as a fraction of its class's worth.
+    pub over_quota_worth_factor: f64,
+    /// Whether the list of exchanges has to be fetched.
+    pub must_fetch_list: bool,
+    /// Longest time without a fetch of the list before it counts as delivered, in ms.
+    pub list_fetch_interval_ms: f64,
     /// Meaning of each value of a load report.
-    pub report: Vec<ReportField>,
-    /// When far processors report their load.
-    pub far_reports: FarReports,
-    /// Most attempts for one call.
-    pub try_limit: u32,
-    /// Whether an attempt may be called off.
+    pub report_fields: Vec<ReportField>,
+    /// When remote processors report their load.
+    pub load_report_mode: LoadReportMode,
+    /// Maximum number of attempts per call.
+    pub attempt_limit: u32,
+    /// Whether an attempt may be cancelled.
     pub may_cancel: bool,
     /// Whether exchanges may be probed.
     pub may_probe: bool,
-    /// Whether peers may be told things.
-    pub may_tell: bool,
-    /// Longest retry-after that callers follow, in ms; 0 where callers are not told.
+    /// Whether messages may be sent to peer agents.
+    pub may_message_peers: bool,
+    /// Longest retry-after that callers honour, in ms; 0 where callers receive none.
     pub max_retry_after_ms: f64,
-    /// Time after a drain notice in which sends must stop, in ms.
+    /// Time after a drain notice by which set-ups to the exchange must stop, in ms.
     pub drain_grace_ms: f64,
-    /// Time after a time-out, reset or cancel before the call may be sent again, in ms.
-    pub release_ms: f64,
-    /// Part of its capacity that a cold exchange starts with.
-    pub cold_from: f64,
-    /// Time after its start by which an exchange is warm, in ms.
-    pub cold_ms: f64,
-    /// Multiple of its present capacity at which a cold exchange falls over.
-    pub fall_multiple: f64,
+    /// Pause after a time-out, reset or cancel before the call may be sent again, in ms.
+    pub release_pause_ms: f64,
+    /// Fraction of its capacity that a cold exchange starts with.
+    pub cold_initial_capacity: f64,
+    /// Time after its start until an exchange has its full capacity, in ms.
+    pub cold_period_ms: f64,
+    /// Multiple of its current capacity at which a cold exchange fails under overload.
+    pub overload_factor: f64,
     /// Time for which that multiple must last, in ms.
-    pub fall_ms: f64,
-    /// A waiting set-up is repeated by the network after this time, in ms; 0 for never.
-    pub resend_ms: f64,
-    /// Shortest gap between two events, in ms.
+    pub overload_duration_ms: f64,
+    /// The network retransmits an unanswered set-up after this time, in ms; 0 for never.
+    pub retransmit_ms: f64,
+    /// Shortest interval between two events, in ms.
     pub tick_ms: f64,
 }
 
 /// A class of call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Wanted set-up time, in ms.
-    pub aim_ms: f64,
-    /// Worth of a call that stands in time.
+    /// Target set-up time, in ms.
+    pub target_setup_ms: f64,
+    /// Worth of a call that is established within the target.
     pub worth: f64,
-    /// Part of the worth left when it stands late.
-    pub late_share: f64,
+    /// Fraction of the worth that remains when the call is established late.
+    pub late_worth_factor: f64,
     /// Circuits that a call takes.
     pub width: f64,
-    /// Mean length of a call, in ms.
-    pub hold_ms: f64,
-    /// Whether a set-up may safely run twice.
-    pub repeatable: bool,
+    /// Mean duration of a call, in ms.
+    pub mean_hold_ms: f64,
+    /// Whether a set-up may safely be executed twice.
+    pub idempotent: bool,
     /// Pools that serve the class; empty for any.
     pub pools: Vec<Number>,
 }
@@ -90,16 +91,16 @@
 /// A tenant of the service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Calls a second, over all agents, within its share.
+    /// Calls per second within its quota, summed over all agents.
     pub quota_per_s: f64,
 }
 
-/// When far processors tell of their load.
+/// When remote processors report their load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FarReports {
-    /// In every outcome and probe result.
+pub enum LoadReportMode {
+    /// With every outcome and probe result.
     Inline,
-    /// In probe results alone.
+    /// With probe results only.
     OnProbe,
     /// Never.
     Off,
@@ -109,68 +110,68 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
     /// Free circuits of the group toward the exchange (free agents of a pool).
-    Free,
+    FreeCircuits,
     /// Size of that group or pool.
-    Total,
-    /// Wait at the far processor, in ms.
-    Wait,
-    /// Set-ups a second that the far processor can take from all senders.
-    Allowed,
-    /// Messages in work there.
-    Busy,
-    /// Messages waiting there.
-    Queue,
-    /// Share of the far processor in use.
-    Load,
-    /// Share of set-ups that each sender is asked to hold back.
-    HoldBack,
-    /// Something this version does not know.
+    TotalCircuits,
+    /// Wait at the remote processor, in ms.
+    WaitMs,
+    /// Set-ups per second that the remote processor accepts from all senders.
+    AllowedRate,
+    /// Messages being processed there.
+    ActiveMessages,
+    /// Messages queued there.
+    QueuedMessages,
+    /// Fraction of the remote processor in use.
+    Utilization,
+    /// Fraction of set-ups that each sender is asked to hold back.
+    RequestedReduction,
+    /// A field that this version does not know.
     Unknown,
 }
 
-/// A load report: values in the order of [`Settings::report`]. Values may be missing, negative or not finite.
-pub type Report = Vec<f64>;
+/// A load report: values in the order of [`Settings::report_fields`]. Values may be missing, negative or not finite.
+pub type LoadReport = Vec<f64>;
 
-/// Whether an exchange takes work.
+/// Whether an exchange accepts calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// Takes work.
+    /// Accepts calls.
     Ready,
-    /// Finishes what it has.
+    /// Completes its calls and accepts no new ones.
     Draining,
-    /// Removed.
-    Gone,
+    /// Removed from the list.
+    Removed,
 }
 
-/// A line of the list of exchanges.
+/// An entry of the list of exchanges.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedExchange {
     /// Its address.
     pub id: ExchangeId,
     /// Its number.
     pub number: Number,
-    /// The zone it stands in; only compared. Traffic inside a zone is thicker and so are its groups.
+    /// Its zone; only compared. Traffic inside a zone is heavier, and its groups are larger accordingly.
     pub zone: u16,
     /// When its processor last started, on the host's clock in ms; 0 for long ago.
-    pub born_ms: f64,
-    /// Whether it takes work.
+    pub started_ms: f64,
+    /// Whether it accepts calls.
     pub readiness: Readiness,
 }
 
-/// How a line of news about the list is meant.
+/// How to apply the entries of a list update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
-    /// The complete list: whatever is not in it is gone.
-    Full,
+pub enum ListUpdateKind {
+    /// The complete list: an exchange that is not in it has been removed.
+    Complete,
     /// The complete list as last stored, possibly out of date.
     Cached,
-    /// Only what changed.
+    /// Only the entries that changed.
     Changes,
-    /// Asking failed; the earlier list stays.
-    Failed,
+    /// The fetch failed; the earlier list remains valid.
+    FetchFailed,
 }
 
-/// A call handed to this agent.
+/// A call offered to this agent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewCall {
     /// Its id.
@@ -184,133 +185,134 @@
     /// Destination (first choice among pools).
     pub dest: Number,
     /// The number called; 0 for none.
-    pub called: u64,
-    /// Time before the caller stops waiting, in ms.
-    pub left_ms: f64,
-    /// Where a call in transit comes from; `None` for an own caller's call.
+    pub called_number: u64,
+    /// Time until the caller stops waiting, in ms.
+    pub remaining_ms: f64,
+    /// Exchange that a call in transit comes from; `None` for a call of an own caller.
     pub transit_from: Option<Number>,
-    /// Route that a centre advises, if there is one.
-    pub advised: Option<Number>,
+    /// Route that a route centre advises, if any.
+    pub advised_route: Option<Number>,
     /// Whether the caller is known to dial again.
     pub redial: bool,
-    /// Whether the call stood, was cut and comes again.
+    /// Whether the call was established before, was cut and is set up again.
     pub was_cut: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The call stood and has ended.
-    Ended,
-    /// All lines of the number busy, or a fault in signalling.
+    /// The call was established and has ended.
+    Completed,
+    /// All lines of the number are busy, or a signalling fault.
     Busy,
-    /// Not set up: turned back, or no room.
-    Full,
+    /// Not set up: cranked back or no capacity.
+    Congested,
     /// No answer in time.
     TimedOut,
     /// No connection to the exchange.
     NoConnection,
-    /// Set-up or standing call cut.
+    /// The set-up or the established call was cut.
     Reset,
-    /// Called off.
+    /// Cancelled by this agent.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
-/// Why an attempt found no room.
+/// Why an attempt was not served.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reason {
-    /// Nothing said.
-    None,
-    /// No circuit, or no agent in the pool.
+    /// No reason given.
+    Unspecified,
+    /// No free circuit, or no free agent in the pool.
     NoCircuit,
-    /// Turned back by the tandem for want of circuits (crank-back).
-    TurnedBack,
-    /// Turned back: the processor beyond was full.
-    FullBeyond,
-    /// Processor full, with the wait it named in ms (0 for none). On a moot attempt: the own one is down.
+    /// The tandem had no free circuit (crank-back).
+    CrankBack,
+    /// The tandem cranked the call back because the processor of the destination was full.
+    DestinationFull,
+    /// The processor is full, with the wait that it reported in ms (0 for none). For an attempt with
+    /// [`Outcome::NotSent`]: the own processor is down.
     ProcessorFull(f64),
     /// All lines of the number are busy.
-    LinesBusy,
+    UserBusy,
 }
 
-/// What a host tells a controller.
+/// Event that a host reports to a controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News about the list of exchanges.
+    /// Update of the list of exchanges.
     List {
-        /// How the entries are meant.
-        kind: ListKind,
+        /// How to apply the entries.
+        kind: ListUpdateKind,
         /// The entries.
-        entries: Vec<Listed>,
+        entries: Vec<ListedExchange>,
     },
     /// A call to decide on.
     Call(NewCall),
-    /// An attempt set the call up.
-    Stands {
+    /// An attempt established the call.
+    Answered {
         /// The call.
         call: CallId,
         /// Number of the attempt.
         attempt: u32,
-        /// Where it was sent.
+        /// Exchange that it was sent to.
         exchange: ExchangeId,
         /// Time since it was sent, in ms.
-        took_ms: f64,
+        elapsed_ms: f64,
     },
-    /// An attempt is over.
-    Outcome {
+    /// An attempt ended.
+    AttemptEnded {
         /// The call.
         call: CallId,
         /// Number of the attempt.
         attempt: u32,
-        /// Where it was sent.
+        /// Exchange that it was sent to.
         exchange: ExchangeId,
         /// How it ended.
         outcome: Outcome,
-        /// Why.
+        /// Why it was not served.
         reason: Reason,
         /// Time since it was sent, in ms.
-        took_ms: f64,
-        /// Whether nothing more is owed for the call.
-        closed: bool,
-        /// Load report, if one came along.
-        report: Option<Report>,
+        elapsed_ms: f64,
+        /// Whether the call is closed and needs no further action.
+        call_closed: bool,
+        /// Load report, if one was attached.
+        report: Option<LoadReport>,
     },
-    /// The caller has gone.
-    Left {
+    /// The caller abandoned the call.
+    Abandoned {
         /// The call.
         call: CallId,
     },
-    /// A timer rang.
-    Timer {
-        /// As given in [`Action::Timer`].
+    /// A timer expired.
+    TimerExpired {
+        /// Tag given in [`Action::SetTimer`].
         tag: u64,
     },
-    /// Answer to a probe, or unasked news of free circuits (`took_ms` 0).
-    Probed {
+    /// Result of a probe, or an unsolicited report of free circuits (`elapsed_ms` 0).
+    ProbeResult {
         /// The exchange.
         exchange: ExchangeId,
         /// Whether it answered.
         answered: bool,
-        /// Time since the probe was sent, in ms; 0 for unasked news.
-        took_ms: f64,
-        /// The report.
-        report: Option<Report>,
+        /// Time since the probe was sent, in ms; 0 for an unsolicited report.
+        elapsed_ms: f64,
+        /// Load report, if one was attached.
+        report: Option<LoadReport>,
     },
-    /// A peer's message.
-    Heard {
+    /// A message from a peer agent.
+    PeerMessage {
         /// Index of the sender.
         from: u32,
-        /// Its bytes; anything may come.
+        /// Content, not validated.
         bytes: Vec<u8>,
     },
 }
 
-/// What a controller asks of its host, in order.
+/// Action that a controller requests of its host; actions are executed in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Set the call up toward an exchange.
+    /// Send a set-up to an exchange.
     Send {
         /// The call.
         call: CallId,
@@ -319,11 +321,11 @@
         /// Time-out of the attempt, in ms.
         timeout_ms: f64,
     },
-    /// End the call unserved (send a call in transit back).
+    /// Refuse the call (crank back a call in transit).
     Refuse {
         /// The call.
         call: CallId,
-        /// How long the caller should keep away, in ms; 0 for no advice.
+        /// Time for which the caller should not retry, in ms; 0 for no advice.
         retry_after_ms: f64,
     },
     /// End the call as failed.
@@ -331,18 +333,18 @@
         /// The call.
         call: CallId,
     },
-    /// Call an attempt off.
+    /// Cancel an attempt.
     Cancel {
         /// The call.
         call: CallId,
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Ring after a time.
-    Timer {
-        /// From now, in ms.
+    /// Set a timer.
+    SetTimer {
+        /// Delay from now, in ms.
         delay_ms: f64,
-        /// Given back in [`Event::Timer`].
+        /// Returned in [`Event::TimerExpired`].
         tag: u64,
     },
     /// Probe an exchange.
@@ -350,19 +352,19 @@
         /// The exchange.
         exchange: ExchangeId,
     },
-    /// Tell a peer something; `None` for every peer.
-    Tell {
+    /// Send a message to a peer agent, or with `None` to every peer.
+    SendPeerMessage {
         /// Index of the peer.
         to: Option<u32>,
-        /// At most 256 bytes.
+        /// Content, at most 256 bytes.
         bytes: Vec<u8>,
     },
-    /// Ask to be told of changes to the list.
+    /// Subscribe to changes of the list.
     Subscribe,
-    /// Ask for the complete list once.
+    /// Fetch the complete list once.
     FetchList,
-    /// A line for the on-call log.
-    Trace {
+    /// Write a line to the log.
+    Log {
         /// The line.
         text: String,
     },
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -6,7 +6,7 @@
 
 use thiserror::Error;
 
-use crate::engine::CallName;
+use crate::engine::CallUid;
 use crate::net::jsonl::write_setup;
 
 pub mod clf;
@@ -100,7 +100,7 @@
         self.offers.iter().enumerate().map(|(i, offer)| {
             let hash = fnv(&offer.key);
             let dest = plan.dest.unwrap_or_else(|| (hash % u64::from(plan.exchanges.max(1))) as u32);
-            let call = CallName::from_u64(hash.rotate_left(32) ^ (i as u64 + 1));
+            let call = CallUid::from_u64(hash.rotate_left(32) ^ (i as u64 + 1));
             let key = format!("{hash:016x}");
             (self.offset(offer), write_setup(call, &plan.class, plan.left, &key, dest))
         })
--- a/src/net/dns.rs
+++ b/src/net/dns.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 
 use crate::config::zone_index;
-use crate::engine::{Entry, span};
+use crate::engine::{ListEntry, span};
 use crate::interface::Readiness;
 
 /// The name whose SRV records list the exchanges.
@@ -74,7 +74,7 @@
     awaited: &[u16],
     bytes: &[u8],
     zones: &[String],
-) -> Result<(u32, Vec<Entry>), AnswerError> {
+) -> Result<(u32, Vec<ListEntry>), AnswerError> {
     let packet = Packet::parse(bytes)?;
     if !awaited.contains(&packet.id()) || !packet.has_flags(PacketFlag::RESPONSE) {
         return Err(AnswerError::Stray);
@@ -101,12 +101,12 @@
         let labels = target.get_labels();
         let label = |i: usize| labels.get(i).map(|l| l.to_string());
         let started = value("started")?;
-        Some(Entry {
+        Some(ListEntry {
             name: label(0)?.into(),
             address: SocketAddr::new(address.into(), port),
             number: value("cell")? as u32,
             zone: zone_index(zones, &label(1)?),
-            born: (started > 0.0).then(|| UNIX_EPOCH + span(started)),
+            started_at: (started > 0.0).then(|| UNIX_EPOCH + span(started)),
             readiness: if priority == 0 { Readiness::Ready } else { Readiness::Draining },
         })
     };
@@ -114,7 +114,7 @@
         RData::SRV(srv) => Some(entry(&srv.target, srv.port, srv.priority)),
         _ => None,
     });
-    let entries: Vec<Entry> = entries.collect::<Option<_>>().ok_or(AnswerError::Partial)?;
+    let entries: Vec<ListEntry> = entries.collect::<Option<_>>().ok_or(AnswerError::Partial)?;
     if entries.is_empty() { Err(AnswerError::Partial) } else { Ok((serial, entries)) }
 }
 
@@ -148,7 +148,7 @@
     mut serial: u32,
     seed: u64,
     moves: &Receiver<Source>,
-    mut news: impl FnMut(u32, Option<Vec<Entry>>) -> bool,
+    mut news: impl FnMut(u32, Option<Vec<ListEntry>>) -> bool,
 ) -> std::io::Result<()> {
     let mut socket = source.socket()?;
     let mut buffer = vec![0; LARGEST];
--- a/src/net/door.rs
+++ b/src/net/door.rs
@@ -9,7 +9,7 @@
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry, Token};
 
-use crate::ops::{self, Order, Reply};
+use crate::ops::{self, OperatorReply, OperatorRequest};
 
 /// Connections that it holds at once; a further one takes the place of the oldest that has said nothing whole.
 pub(super) const MOST: usize = 8;
@@ -64,7 +64,12 @@
     }
 
     /// The poll has something to say; what was asked is added to `orders`.
-    pub(super) fn on_event(&mut self, token: Token, registry: &Registry, orders: &mut Vec<(Ticket, Order)>) {
+    pub(super) fn on_event(
+        &mut self,
+        token: Token,
+        registry: &Registry,
+        orders: &mut Vec<(Ticket, OperatorRequest)>,
+    ) {
         if token == LISTENER {
             self.accept(registry, orders);
         } else {
@@ -72,7 +77,7 @@
         }
     }
 
-    fn accept(&mut self, registry: &Registry, orders: &mut Vec<(Ticket, Order)>) {
+    fn accept(&mut self, registry: &Registry, orders: &mut Vec<(Ticket, OperatorRequest)>) {
         loop {
             match self.listener.accept() {
                 Ok((mut stream, _)) => {
@@ -106,7 +111,7 @@
         }
     }
 
-    fn serve(&mut self, ticket: Ticket, orders: &mut Vec<(Ticket, Order)>) {
+    fn serve(&mut self, ticket: Ticket, orders: &mut Vec<(Ticket, OperatorRequest)>) {
         let Some(visitor) = self.visitors.get_mut(&ticket) else { return };
         let mut buffer = [0; 1024];
         let mut ended = false;
@@ -117,7 +122,7 @@
                 Ok(_) if visitor.heard => {}
                 Ok(length) => {
                     visitor.head.extend_from_slice(&buffer[..length]);
-                    match ops::read(&visitor.head, self.edge) {
+                    match ops::parse_request(&visitor.head, self.edge) {
                         Ok(None) => {}
                         Ok(Some(order)) => {
                             visitor.heard = true;
@@ -125,7 +130,7 @@
                         }
                         Err(error) => {
                             visitor.heard = true;
-                            visitor.unsent = ops::write(&Reply::Refused(error));
+                            visitor.unsent = ops::format_reply(&OperatorReply::Rejected(error));
                         }
                     }
                 }
@@ -147,9 +152,9 @@
     }
 
     /// Answers a call.
-    pub(super) fn answer(&mut self, ticket: Ticket, reply: &Reply) {
+    pub(super) fn answer(&mut self, ticket: Ticket, reply: &OperatorReply) {
         if let Some(visitor) = self.visitors.get_mut(&ticket) {
-            visitor.unsent = ops::write(reply);
+            visitor.unsent = ops::format_reply(reply);
             self.write(ticket);
         }
     }
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -20,13 +20,13 @@
 use super::jsonl::{self, Cut, FromCaller, FromExchange, LineError};
 use crate::config::Config;
 use crate::edge::SkewedClock;
-use crate::engine::{CallName, ConnId, Effect, Front, Input, LinkId, PeerWord};
+use crate::engine::{CallUid, CallerConnId, Effect, ExchangeConnId, ExchangeMessage, Front, Input};
 use crate::iax2::{Endpoint, Iax2Config, Output};
 use crate::interface::Number;
-use crate::ops::{Order, Reply};
+use crate::ops::{OperatorReply, OperatorRequest};
 
 /// The one link of all IAX2 callers; connections count on from it.
-pub(super) const HANDSETS: LinkId = 0;
+pub(super) const HANDSETS: CallerConnId = 0;
 /// What the poll calls the waker and the listener.
 pub(super) const WAKER: Token = Token(0);
 const LISTENER: Token = Token(1);
@@ -60,15 +60,15 @@
 /// Whose connection it is, told by the lowest bit of its token.
 #[derive(Clone, Copy)]
 enum Whose {
-    Caller(LinkId),
-    Exchange(ConnId),
+    Caller(CallerConnId),
+    Exchange(ExchangeConnId),
 }
 
 impl Whose {
     fn token(self) -> Token {
         Token(match self {
-            Self::Caller(link) => 2 * (link as usize + 1),
-            Self::Exchange(conn) => 2 * (conn as usize + 1) + 1,
+            Self::Caller(caller_conn) => 2 * (caller_conn as usize + 1),
+            Self::Exchange(exchange_conn) => 2 * (exchange_conn as usize + 1) + 1,
         })
     }
 
@@ -87,8 +87,8 @@
     listener: TcpListener,
     /// When to try to accept again, if not all that wait have been accepted.
     accept_at: Option<SystemTime>,
-    links: HashMap<LinkId, Connection>,
-    conns: HashMap<ConnId, Connection>,
+    links: HashMap<CallerConnId, Connection>,
+    conns: HashMap<ExchangeConnId, Connection>,
     /// Connections that are closed once their last words are written, and until when they have for that.
     closing: Vec<(SystemTime, Connection)>,
     echoes: Echoes,
@@ -102,7 +102,7 @@
     handover: Option<Handover>,
     handsets: Option<Handsets>,
     recorder: Option<(Recorder, SkewedClock)>,
-    last_link: LinkId,
+    last_link: CallerConnId,
     /// What the reducer is to be told next.
     inputs: VecDeque<Input>,
     /// Set once all is answered: when to end at the latest.
@@ -242,8 +242,8 @@
 
     fn connection(&mut self, whose: Whose) -> Option<&mut Connection> {
         match whose {
-            Whose::Caller(link) => self.links.get_mut(&link),
-            Whose::Exchange(conn) => self.conns.get_mut(&conn),
+            Whose::Caller(caller_conn) => self.links.get_mut(&caller_conn),
+            Whose::Exchange(exchange_conn) => self.conns.get_mut(&exchange_conn),
         }
     }
 
@@ -258,17 +258,19 @@
         match (token, Whose::of(token)) {
             (WAKER, _) => {}
             (LISTENER, _) => self.accept(),
-            (_, Whose::Caller(link)) => self.read_caller(link),
-            (_, Whose::Exchange(conn)) => self.read_exchange(conn),
+            (_, Whose::Caller(caller_conn)) => self.read_caller(caller_conn),
+            (_, Whose::Exchange(exchange_conn)) => self.read_exchange(exchange_conn),
         }
     }
 
     /// Works on the operators' side and queues what it has for the reducer.
-    fn on_door(&mut self, work: impl FnOnce(&mut Door, &Registry, &mut Vec<(Ticket, Order)>)) {
+    fn on_door(&mut self, work: impl FnOnce(&mut Door, &Registry, &mut Vec<(Ticket, OperatorRequest)>)) {
         let Some(door) = &mut self.door else { return };
         let mut orders = Vec::new();
         work(door, &self.registry, &mut orders);
-        self.inputs.extend(orders.into_iter().map(|(ticket, order)| Input::Operator { ticket, order }));
+        self.inputs.extend(
+            orders.into_iter().map(|(request_id, request)| Input::OperatorRequest { request_id, request }),
+        );
     }
 
     /// Works on the side of the other process of this softswitch.
@@ -294,7 +296,7 @@
         }
     }
 
-    fn answer_operator(&mut self, ticket: Ticket, reply: &Reply) {
+    fn answer_operator(&mut self, ticket: Ticket, reply: &OperatorReply) {
         self.on_door(|door, _, _| door.answer(ticket, reply));
     }
 
@@ -306,11 +308,12 @@
             match self.listener.accept() {
                 Ok((stream, _)) => {
                     self.last_link += 1;
-                    let link = self.last_link;
+                    let caller_conn = self.last_link;
                     let mut connection = Connection::accepted(stream, CALLER_LINE);
-                    if connection.watch(&self.registry, Whose::Caller(link).token()).is_ok() {
-                        self.links.insert(link, connection);
-                        self.inputs.push_back(Input::LinkUp { link, front: Front::Platform });
+                    if connection.watch(&self.registry, Whose::Caller(caller_conn).token()).is_ok() {
+                        self.links.insert(caller_conn, connection);
+                        self.inputs
+                            .push_back(Input::CallerConnected { caller_conn, front: Front::JsonLines });
                     }
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
@@ -327,23 +330,25 @@
         self.accept_at = Some(SystemTime::now());
     }
 
-    fn read_caller(&mut self, link: LinkId) {
-        let Some(connection) = self.links.get_mut(&link) else { return };
+    fn read_caller(&mut self, caller_conn: CallerConnId) {
+        let Some(connection) = self.links.get_mut(&caller_conn) else { return };
         connection.flush();
         let inputs = &mut self.inputs;
         let received = connection.receive(|cut, received| {
             inputs.push_back(match &cut {
                 Cut::Whole(line) => match jsonl::read_caller(line, received) {
-                    Ok(FromCaller::SetUp(call, setup)) => Input::SetUp { link, call, setup },
-                    Ok(FromCaller::Stop(call, cause)) => Input::HangUp { link, call, cause },
-                    Ok(FromCaller::Check(call)) => Input::Check { link, call },
+                    Ok(FromCaller::SetUp(call, setup)) => Input::SetUp { caller_conn, call, setup },
+                    Ok(FromCaller::Stop(call, cause)) => Input::HangUp { caller_conn, call, cause },
+                    Ok(FromCaller::Check(call)) => Input::HealthCheck { caller_conn, call },
                     Ok(FromCaller::Nothing) => return ControlFlow::Continue(()),
-                    Err(LineError::Call(call)) => Input::Malformed { link, call },
+                    Err(LineError::Call(call)) => Input::MalformedSetUp { caller_conn, call },
                     Err(LineError::Unreadable) => return ControlFlow::Break(()),
                 },
                 // Its end may be far away, and nothing behind it is worth the wait.
                 Cut::TooLong(start) => {
-                    inputs.extend(jsonl::named_call(start).map(|call| Input::Malformed { link, call }));
+                    inputs.extend(
+                        jsonl::named_call(start).map(|call| Input::MalformedSetUp { caller_conn, call }),
+                    );
                     return ControlFlow::Break(());
                 }
             });
@@ -351,32 +356,37 @@
         });
         match received {
             Received::All => {}
-            Received::More => self.ready.push(Whose::Caller(link).token()),
+            Received::More => self.ready.push(Whose::Caller(caller_conn).token()),
             // The reducer answers what is open on it, and then has it closed.
-            Received::Ended(Ending::Spoilt) => self.inputs.push_back(Input::Spoilt { link }),
+            Received::Ended(Ending::Spoilt) => {
+                self.inputs.push_back(Input::CallerStreamCorrupt { caller_conn })
+            }
             Received::Ended(ending) => {
-                self.inputs.push_back(Input::LinkDown { link });
+                self.inputs.push_back(Input::CallerDisconnected { caller_conn });
                 if ending == Ending::Reset {
-                    self.inputs.push_back(Input::Unheard { link });
-                    self.links.remove(&link);
-                } else if let Some(connection) = self.links.remove(&link) {
-                    let unheard = self.echoes.keep(SystemTime::now() + ECHO, link, connection);
-                    self.inputs.extend(unheard.map(|link| Input::Unheard { link }));
+                    self.inputs.push_back(Input::CallerMessagesUnread { caller_conn });
+                    self.links.remove(&caller_conn);
+                } else if let Some(connection) = self.links.remove(&caller_conn) {
+                    let unheard = self.echoes.keep(SystemTime::now() + ECHO, caller_conn, connection);
+                    self.inputs
+                        .extend(unheard.map(|caller_conn| Input::CallerMessagesUnread { caller_conn }));
                 }
             }
         }
     }
 
-    fn read_exchange(&mut self, conn: ConnId) {
-        let Some(connection) = self.conns.get_mut(&conn) else { return };
+    fn read_exchange(&mut self, exchange_conn: ExchangeConnId) {
+        let Some(connection) = self.conns.get_mut(&exchange_conn) else { return };
         if connection.is_opening() {
             match connection.has_opened() {
-                Ok(true) => self.inputs.push_back(Input::Connected { conn, bound: false }),
+                Ok(true) => {
+                    self.inputs.push_back(Input::ExchangeConnected { exchange_conn, carries_calls: false })
+                }
                 Ok(false) => return,
                 Err(error) => {
                     let refused = error.kind() == ErrorKind::ConnectionRefused;
-                    self.conns.remove(&conn);
-                    self.inputs.push_back(Input::ConnectFailed { conn, refused });
+                    self.conns.remove(&exchange_conn);
+                    self.inputs.push_back(Input::ExchangeConnectFailed { exchange_conn, refused });
                     return;
                 }
             }
@@ -384,7 +394,7 @@
         connection.flush();
         let attempts = connection.take_written();
         self.note_written(attempts);
-        let Some(connection) = self.conns.get_mut(&conn) else { return };
+        let Some(connection) = self.conns.get_mut(&exchange_conn) else { return };
         let (inputs, report) = (&mut self.inputs, &self.report);
         let received = connection.receive(|cut, _| {
             let read = match &cut {
@@ -392,11 +402,17 @@
                 Cut::TooLong(_) => Err(LineError::Unreadable),
             };
             inputs.push_back(match read {
-                Ok(FromExchange::Answer(call, description)) => Input::Answered { conn, call, description },
-                Ok(FromExchange::Stop(call, outcome, reason)) => Input::Ended { conn, call, outcome, reason },
-                Ok(FromExchange::Usage(report)) => Input::GroupState { conn, report },
-                Ok(FromExchange::Checked(passed, report)) => Input::Tested { conn, passed, report },
-                Ok(FromExchange::Nothing) => Input::Alive { conn },
+                Ok(FromExchange::Answer(call, description)) => {
+                    Input::Answered { exchange_conn, call, description }
+                }
+                Ok(FromExchange::Stop(call, outcome, reason)) => {
+                    Input::Ended { exchange_conn, call, outcome, reason }
+                }
+                Ok(FromExchange::Usage(report)) => Input::GroupState { exchange_conn, report },
+                Ok(FromExchange::Checked(passed, report)) => {
+                    Input::ProbeResult { exchange_conn, passed, report }
+                }
+                Ok(FromExchange::Nothing) => Input::ExchangeActivity { exchange_conn },
                 // After something that cannot be read nothing that follows on the same connection counts: the
                 // calls on it would wait for answers that never come.
                 Err(_) => return ControlFlow::Break(()),
@@ -405,15 +421,15 @@
         });
         match received {
             Received::All => {}
-            Received::More => self.ready.push(Whose::Exchange(conn).token()),
-            Received::Ended(_) => self.lose_exchange(conn),
+            Received::More => self.ready.push(Whose::Exchange(exchange_conn).token()),
+            Received::Ended(_) => self.lose_exchange(exchange_conn),
         }
     }
 
-    fn lose_exchange(&mut self, conn: ConnId) {
-        if let Some(connection) = self.conns.remove(&conn) {
+    fn lose_exchange(&mut self, exchange_conn: ExchangeConnId) {
+        if let Some(connection) = self.conns.remove(&exchange_conn) {
             connection.cut();
-            self.inputs.push_back(Input::ConnectionLost { conn });
+            self.inputs.push_back(Input::ExchangeDisconnected { exchange_conn });
         }
     }
 
@@ -422,20 +438,20 @@
         let late = |(id, connection): (&u64, &mut Connection)| Some((*id, connection.late(now)?));
         let links: Vec<_> = self.links.iter_mut().filter_map(late).collect();
         let conns: Vec<_> = self.conns.iter_mut().filter_map(late).collect();
-        for (link, late) in links {
+        for (caller_conn, late) in links {
             if late == Late::Line {
-                self.inputs.push_back(Input::Spoilt { link });
+                self.inputs.push_back(Input::CallerStreamCorrupt { caller_conn });
             } else {
-                self.links.remove(&link);
-                self.inputs.push_back(Input::LinkDown { link });
+                self.links.remove(&caller_conn);
+                self.inputs.push_back(Input::CallerDisconnected { caller_conn });
             }
         }
-        for (conn, late) in conns {
+        for (exchange_conn, late) in conns {
             if late == Late::Opening {
-                self.conns.remove(&conn);
-                self.inputs.push_back(Input::ConnectFailed { conn, refused: false });
+                self.conns.remove(&exchange_conn);
+                self.inputs.push_back(Input::ExchangeConnectFailed { exchange_conn, refused: false });
             } else {
-                self.lose_exchange(conn);
+                self.lose_exchange(exchange_conn);
             }
         }
         self.closing.retain_mut(|(until, connection)| {
@@ -447,7 +463,8 @@
             keep
         });
         let unheard = self.echoes.unread(now);
-        self.inputs.extend(unheard.into_iter().map(|link| Input::Unheard { link }));
+        self.inputs
+            .extend(unheard.into_iter().map(|caller_conn| Input::CallerMessagesUnread { caller_conn }));
     }
 
     /// Works on the IAX2 side, sends its datagrams and queues what it has for the reducer.
@@ -465,7 +482,7 @@
     /// The IAX2 side can be had at last.
     pub(super) fn begin_handsets(&mut self, handsets: Handsets) {
         self.handsets = Some(handsets);
-        self.inputs.push_back(Input::LinkUp { link: HANDSETS, front: Front::Handsets });
+        self.inputs.push_back(Input::CallerConnected { caller_conn: HANDSETS, front: Front::Iax2 });
     }
 
     /// Whether a way to an exchange goes over IAX2.
@@ -476,40 +493,44 @@
     /// Carries out what the reducer asks for.
     pub(super) fn perform(&mut self, effect: Effect) {
         match effect {
-            Effect::ToCaller { link: HANDSETS, call, word } => {
-                self.on_handsets(|h, out| h.endpoint.to_caller(SystemTime::now(), call, &word, out));
+            Effect::ToCaller { caller_conn: HANDSETS, call, message } => {
+                self.on_handsets(|h, out| h.endpoint.to_caller(SystemTime::now(), call, &message, out));
+            }
+            Effect::ToCaller { caller_conn, call, message } => {
+                self.say(Whose::Caller(caller_conn), &jsonl::write_caller(call, &message));
             }
-            Effect::ToCaller { link, call, word } => {
-                self.say(Whose::Caller(link), &jsonl::write_caller(call, &word));
+            Effect::ToExchange { exchange_conn, call, message } => {
+                self.say_to_exchange(exchange_conn, call, &message)
             }
-            Effect::ToExchange { conn, call, word } => self.say_to_exchange(conn, call, &word),
-            Effect::ToTwin(word) => self.on_handover(|handover, registry, inputs| {
-                handover.say(&word, registry, inputs);
+            Effect::ToSibling(message) => self.on_handover(|handover, registry, inputs| {
+                handover.say(&message, registry, inputs);
             }),
             Effect::Accept(accepting) => self.accept_or_not(accepting),
-            Effect::ToOperator { ticket, reply } => self.answer_operator(ticket, &reply),
-            Effect::CloseLink { link } => {
-                if let Some(mut connection) = self.links.remove(&link) {
+            Effect::ToOperator { request_id, reply } => self.answer_operator(request_id, &reply),
+            Effect::CloseCallerConn { caller_conn } => {
+                if let Some(mut connection) = self.links.remove(&caller_conn) {
                     connection.flush();
                     if !connection.is_flushed() {
                         self.closing.push((SystemTime::now() + LAST_WORDS, connection));
                     }
                 }
             }
-            Effect::CloseIfQuiet { link } => self.close_if_quiet(link),
-            Effect::Connect { conn, number, address, .. } if self.speaks_iax2(number) => {
+            Effect::CloseCallerConnIfIdle { caller_conn } => self.close_if_quiet(caller_conn),
+            Effect::ConnectExchange { exchange_conn, number, address, .. } if self.speaks_iax2(number) => {
                 let limit = self.connect_timeout;
-                self.on_handsets(|h, out| h.endpoint.connect(SystemTime::now(), conn, address, limit, out));
+                self.on_handsets(|h, out| {
+                    h.endpoint.connect(SystemTime::now(), exchange_conn, address, limit, out)
+                });
             }
-            Effect::Connect { conn, address, .. } => self.dial(conn, address),
-            Effect::Close { conn } => match self.conns.remove(&conn) {
+            Effect::ConnectExchange { exchange_conn, address, .. } => self.dial(exchange_conn, address),
+            Effect::CloseExchangeConn { exchange_conn } => match self.conns.remove(&exchange_conn) {
                 Some(mut connection) => {
                     connection.flush();
                     let attempts = connection.take_written();
                     self.note_written(attempts);
                     connection.cut();
                 }
-                None => self.on_handsets(|h, _| h.endpoint.close(SystemTime::now(), conn)),
+                None => self.on_handsets(|h, _| h.endpoint.close(SystemTime::now(), exchange_conn)),
             },
             Effect::Reconfigure(config) => {
                 let config = *config;
@@ -520,7 +541,7 @@
                     tracing::warn!("the resolver's new address came while too many others wait");
                 }
             }
-            Effect::Trace(text) => tracing::info!("{text}"),
+            Effect::Log(text) => tracing::info!("{text}"),
             Effect::Record(record) => {
                 if let Some((recorder, clock)) = &mut self.recorder {
                     recorder.record(Record { at_us: clock.shows(record.at_us), ..record });
@@ -534,48 +555,48 @@
 
     /// Closes a connection from callers if all that has come on it is read and nothing has begun. A set-up that
     /// waits in it unread would be lost with it.
-    fn close_if_quiet(&mut self, link: LinkId) {
+    fn close_if_quiet(&mut self, caller_conn: CallerConnId) {
         let waiting = self.inputs.len();
-        self.read_caller(link);
-        if self.inputs.len() > waiting || self.links.get(&link).is_none_or(Connection::has_begun) {
+        self.read_caller(caller_conn);
+        if self.inputs.len() > waiting || self.links.get(&caller_conn).is_none_or(Connection::has_begun) {
             return;
         }
-        let Some(mut connection) = self.links.remove(&link) else { return };
+        let Some(mut connection) = self.links.remove(&caller_conn) else { return };
         connection.flush();
         // The reducer hears of it before anything else comes, so that it sends nothing more there.
-        self.inputs.push_front(Input::LinkDown { link });
+        self.inputs.push_front(Input::CallerDisconnected { caller_conn });
         if !connection.is_flushed() {
             self.closing.push((SystemTime::now() + LAST_WORDS, connection));
         }
     }
 
-    fn say_to_exchange(&mut self, conn: ConnId, call: CallName, word: &PeerWord) {
-        let attempt = matches!(word, PeerWord::SetUp { .. });
-        if let Some(connection) = self.conns.get_mut(&conn) {
+    fn say_to_exchange(&mut self, exchange_conn: ExchangeConnId, call: CallUid, word: &ExchangeMessage) {
+        let attempt = matches!(word, ExchangeMessage::SetUp { .. });
+        if let Some(connection) = self.conns.get_mut(&exchange_conn) {
             let message = jsonl::write_exchange(call, word);
             if attempt {
                 connection.count_next(message.len());
             }
-            self.say(Whose::Exchange(conn), &message);
+            self.say(Whose::Exchange(exchange_conn), &message);
         } else {
             self.note_written(u64::from(attempt));
-            self.on_handsets(|h, out| h.endpoint.to_node(SystemTime::now(), conn, call, word, out));
+            self.on_handsets(|h, out| h.endpoint.to_node(SystemTime::now(), exchange_conn, call, word, out));
         }
     }
 
     /// Set-ups were written whole to an exchange.
     fn note_written(&mut self, attempts: u64) {
         if attempts > 0 {
-            self.inputs.push_back(Input::Written { attempts });
+            self.inputs.push_back(Input::AttemptsWritten { attempts });
         }
     }
 
     /// Queues a message; whoever lets too much pile up is cut off.
     fn say(&mut self, whose: Whose, message: &[u8]) {
         let Some(connection) = self.connection(whose) else {
-            if let Whose::Caller(link) = whose {
+            if let Whose::Caller(caller_conn) = whose {
                 // Closed a moment ago: a release that was meant for it finds another way.
-                self.inputs.push_back(Input::Unheard { link });
+                self.inputs.push_back(Input::CallerMessagesUnread { caller_conn });
             }
             return;
         };
@@ -584,27 +605,27 @@
             return;
         }
         match whose {
-            Whose::Caller(link) => {
-                self.links.remove(&link);
-                self.inputs.push_back(Input::LinkDown { link });
+            Whose::Caller(caller_conn) => {
+                self.links.remove(&caller_conn);
+                self.inputs.push_back(Input::CallerDisconnected { caller_conn });
             }
-            Whose::Exchange(conn) => self.lose_exchange(conn),
+            Whose::Exchange(exchange_conn) => self.lose_exchange(exchange_conn),
         }
     }
 
-    fn dial(&mut self, conn: ConnId, address: SocketAddr) {
+    fn dial(&mut self, exchange_conn: ExchangeConnId, address: SocketAddr) {
         let until = SystemTime::now() + self.connect_timeout;
         let dialled = Connection::dial(address, until, EXCHANGE_LINE).and_then(|mut connection| {
-            connection.watch(&self.registry, Whose::Exchange(conn).token())?;
+            connection.watch(&self.registry, Whose::Exchange(exchange_conn).token())?;
             Ok(connection)
         });
         match dialled {
             Ok(connection) => {
-                self.conns.insert(conn, connection);
+                self.conns.insert(exchange_conn, connection);
             }
             Err(error) => {
                 let refused = error.kind() == ErrorKind::ConnectionRefused;
-                self.inputs.push_back(Input::ConnectFailed { conn, refused });
+                self.inputs.push_back(Input::ExchangeConnectFailed { exchange_conn, refused });
             }
         }
     }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -17,7 +17,7 @@
 
 use super::jsonl::{Cut, Lines};
 use crate::config::parse_json;
-use crate::engine::{CallName, Entry, Inheritance, Input, TwinWord};
+use crate::engine::{CallUid, HandoverState, Input, ListEntry, SiblingMessage};
 use crate::interface::Readiness;
 
 /// How long the other process may take for all that it hands over. It answers between two turns of its loop.
@@ -60,25 +60,34 @@
 }
 
 /// A word as it is sent.
-pub fn write(word: &TwinWord) -> Vec<u8> {
-    let call = |call: &CallName| ("call", call.as_str().to_owned().into());
+pub fn write(word: &SiblingMessage) -> Vec<u8> {
+    let call = |call: &CallUid| ("call", call.as_str().to_owned().into());
     match word {
-        TwinWord::Hello => object("hello", Vec::new()),
-        TwinWord::Serving => object("serving", Vec::new()),
-        TwinWord::Whole { serial } => object("whole", vec![("serial", f64::from(*serial).into())]),
-        TwinWord::HangUp { call: name, cause } => {
+        SiblingMessage::HandoverRequest => object("hello", Vec::new()),
+        SiblingMessage::Serving => object("serving", Vec::new()),
+        SiblingMessage::HandoverComplete { serial } => {
+            object("whole", vec![("serial", f64::from(*serial).into())])
+        }
+        SiblingMessage::HangUp { call: name, cause } => {
             object("hangup", vec![call(name), ("cause", f64::from(*cause).into())])
         }
-        TwinWord::Ended { call: name, cut } => object("ended", vec![call(name), ("cut", (*cut).into())]),
-        TwinWord::Release { call: name, cut } => object("release", vec![call(name), ("cut", (*cut).into())]),
-        TwinWord::Belief { topic, of, values } => {
+        SiblingMessage::Ended { call: name, cut } => {
+            object("ended", vec![call(name), ("cut", (*cut).into())])
+        }
+        SiblingMessage::Release { call: name, cut } => {
+            object("release", vec![call(name), ("cut", (*cut).into())])
+        }
+        SiblingMessage::Learned { topic, exchange, values } => {
             let values: Vec<JsonValue> = values.iter().map(|value| (*value).into()).collect();
-            let of = of.as_ref().map_or(JsonValue::Null, |name| name.to_string().into());
-            object("belief", vec![("topic", topic.clone().into()), ("of", of), ("values", values.into())])
+            let exchange = exchange.as_ref().map_or(JsonValue::Null, |name| name.to_string().into());
+            object(
+                "belief",
+                vec![("topic", topic.clone().into()), ("of", exchange), ("values", values.into())],
+            )
         }
-        TwinWord::Exchange(entry) => {
+        SiblingMessage::Exchange(entry) => {
             // Exactly the moment that it was: another one would be another start.
-            let born = entry.born.and_then(|at| at.duration_since(UNIX_EPOCH).ok());
+            let born = entry.started_at.and_then(|at| at.duration_since(UNIX_EPOCH).ok());
             let born = born.map_or(JsonValue::Null, |span| span.as_nanos().to_string().into());
             let draining = entry.readiness == Readiness::Draining;
             let fields = vec![
@@ -98,7 +107,7 @@
 ///
 /// # Errors
 /// If it is none.
-pub fn read(line: &[u8]) -> Result<TwinWord, WordError> {
+pub fn read(line: &[u8]) -> Result<SiblingMessage, WordError> {
     let text = std::str::from_utf8(line).map_err(|_| WordError)?;
     let json = parse_json(text).map_err(|_| WordError)?;
     let object = json.get::<HashMap<String, JsonValue>>().ok_or(WordError)?;
@@ -109,33 +118,33 @@
         number.filter(|n| n.fract() == 0.0 && (0.0..=most).contains(n)).ok_or(WordError)
     };
     let flag = |key: &str| field(key)?.get::<bool>().copied().ok_or(WordError);
-    let call = || CallName::parse(&text("call")?).ok_or(WordError);
+    let call = || CallUid::parse(&text("call")?).ok_or(WordError);
     Ok(match text("say")?.as_str() {
-        "hello" => TwinWord::Hello,
-        "serving" => TwinWord::Serving,
-        "whole" => TwinWord::Whole { serial: whole("serial", f64::from(u32::MAX))? as u32 },
-        "hangup" => TwinWord::HangUp { call: call()?, cause: whole("cause", 255.0)? as u8 },
-        "ended" => TwinWord::Ended { call: call()?, cut: flag("cut")? },
-        "release" => TwinWord::Release { call: call()?, cut: flag("cut")? },
+        "hello" => SiblingMessage::HandoverRequest,
+        "serving" => SiblingMessage::Serving,
+        "whole" => SiblingMessage::HandoverComplete { serial: whole("serial", f64::from(u32::MAX))? as u32 },
+        "hangup" => SiblingMessage::HangUp { call: call()?, cause: whole("cause", 255.0)? as u8 },
+        "ended" => SiblingMessage::Ended { call: call()?, cut: flag("cut")? },
+        "release" => SiblingMessage::Release { call: call()?, cut: flag("cut")? },
         "belief" => {
             let values = field("values")?.get::<Vec<JsonValue>>().ok_or(WordError)?;
             let values: Option<Vec<f64>> = values.iter().map(|value| value.get::<f64>().copied()).collect();
-            let of = if field("of")?.is_null() { None } else { Some(text("of")?.into()) };
-            TwinWord::Belief { topic: text("topic")?, of, values: values.ok_or(WordError)? }
+            let exchange = if field("of")?.is_null() { None } else { Some(text("of")?.into()) };
+            SiblingMessage::Learned { topic: text("topic")?, exchange, values: values.ok_or(WordError)? }
         }
         "exchange" => {
-            let born = if field("born")?.is_null() {
+            let started_at = if field("born")?.is_null() {
                 None
             } else {
                 let nanos: u64 = text("born")?.parse().map_err(|_| WordError)?;
                 Some(UNIX_EPOCH + Duration::from_nanos(nanos))
             };
-            TwinWord::Exchange(Entry {
+            SiblingMessage::Exchange(ListEntry {
                 name: text("name")?.into(),
                 address: text("address")?.parse().map_err(|_| WordError)?,
                 number: whole("number", f64::from(u32::MAX))? as u32,
                 zone: whole("zone", f64::from(u16::MAX))? as u16,
-                born,
+                started_at,
                 readiness: if flag("draining")? { Readiness::Draining } else { Readiness::Ready },
             })
         }
@@ -149,19 +158,19 @@
     stream: blocking::UnixStream,
     lines: Lines,
     /// Words that came behind.
-    later: Vec<TwinWord>,
+    later: Vec<SiblingMessage>,
 }
 
 /// Asks the process that serves now, if there is one, to hand over.
 ///
 /// # Errors
 /// If none is there, or what it says is not whole: then this process starts as if there were none.
-pub fn inherit(place: &Path) -> io::Result<(Handed, Inheritance)> {
+pub fn inherit(place: &Path) -> io::Result<(Handed, HandoverState)> {
     let mut stream = blocking::UnixStream::connect(place)?;
     let until = SystemTime::now() + PATIENCE;
     stream.set_write_timeout(Some(PATIENCE))?;
-    stream.write_all(&write(&TwinWord::Hello))?;
-    let (mut inheritance, mut lines, mut later) = (Inheritance::default(), Lines::default(), Vec::new());
+    stream.write_all(&write(&SiblingMessage::HandoverRequest))?;
+    let (mut inheritance, mut lines, mut later) = (HandoverState::default(), Lines::default(), Vec::new());
     let (mut whole, mut taken, mut buffer) = (false, 0, vec![0; 16 * 1024]);
     let spoilt = || io::Error::new(ErrorKind::InvalidData, WordError);
     while !whole {
@@ -176,9 +185,13 @@
             let Cut::Whole(line) = cut else { return ControlFlow::Break(()) };
             match read(&line) {
                 Ok(word) if whole => later.push(word),
-                Ok(TwinWord::Exchange(entry)) => inheritance.list.push(entry),
-                Ok(TwinWord::Belief { topic, of, values }) => inheritance.beliefs.push((topic, of, values)),
-                Ok(TwinWord::Whole { serial }) => (inheritance.serial, whole) = (serial, true),
+                Ok(SiblingMessage::Exchange(entry)) => inheritance.list.push(entry),
+                Ok(SiblingMessage::Learned { topic, exchange, values }) => {
+                    inheritance.learned.push((topic, exchange, values))
+                }
+                Ok(SiblingMessage::HandoverComplete { serial }) => {
+                    (inheritance.serial, whole) = (serial, true)
+                }
                 Ok(word) => later.push(word),
                 Err(WordError) => return ControlFlow::Break(()),
             }
@@ -222,10 +235,10 @@
         let mut this = Self { place, listener: None, other: None, last: 0 };
         match handed {
             Some(Handed { stream, lines, later }) => {
-                inputs.extend(later.into_iter().map(Input::Twin));
+                inputs.extend(later.into_iter().map(Input::SiblingMessage));
                 let other = stream.set_nonblocking(true).map(|()| UnixStream::from_std(stream));
                 if !other.is_ok_and(|stream| this.take(stream, lines, registry)) {
-                    inputs.extend([Input::TwinDown]);
+                    inputs.extend([Input::SiblingDisconnected]);
                 }
             }
             None => this.listen(registry),
@@ -285,7 +298,7 @@
                         let Cut::Whole(line) = cut else { return ControlFlow::Break(()) };
                         let Ok(word) = read(&line) else { return ControlFlow::Break(()) };
                         other.heard = true;
-                        inputs.extend([Input::Twin(word)]);
+                        inputs.extend([Input::SiblingMessage(word)]);
                         ControlFlow::Continue(())
                     });
                     if read.is_break() {
@@ -308,12 +321,17 @@
         if self.other.take().is_some() {
             // A process that had taken this one's place may have moved into the meeting place.
             self.listen(registry);
-            inputs.extend([Input::TwinDown]);
+            inputs.extend([Input::SiblingDisconnected]);
         }
     }
 
     /// Tells the other process.
-    pub(super) fn say(&mut self, word: &TwinWord, registry: &Registry, inputs: &mut impl Extend<Input>) {
+    pub(super) fn say(
+        &mut self,
+        word: &SiblingMessage,
+        registry: &Registry,
+        inputs: &mut impl Extend<Input>,
+    ) {
         let Some(other) = &mut self.other else { return };
         other.unsent.extend(write(word));
         if other.unsent.len() > MOST {
@@ -321,7 +339,7 @@
         }
         self.flush(registry, inputs);
         // From here on a third process is to ask this one.
-        if *word == TwinWord::Serving {
+        if *word == SiblingMessage::Serving {
             self.listen(registry);
         }
     }
--- a/src/net/jsonl.rs
+++ b/src/net/jsonl.rs
@@ -10,8 +10,8 @@
 use tinyjson::JsonValue;
 
 use crate::config::parse_json;
-use crate::engine::{CallName, CallerWord, PeerWord, SetUp, millis, span};
-use crate::interface::{Outcome, Reason, Report};
+use crate::engine::{CallUid, CallerMessage, ExchangeMessage, SetUp, millis, span};
+use crate::interface::{LoadReport, Outcome, Reason};
 
 /// No message holds more bytes than this.
 pub const LONGEST: usize = 16 * 1024;
@@ -27,7 +27,7 @@
 pub enum LineError {
     /// It is wrong, but the call is named that it is about.
     #[error("malformed, of call {0:?}")]
-    Call(CallName),
+    Call(CallUid),
     /// It cannot be read.
     #[error("malformed")]
     Unreadable,
@@ -37,11 +37,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum FromCaller {
     /// A set-up.
-    SetUp(CallName, SetUp),
+    SetUp(CallUid, SetUp),
     /// A set-up given up, or a release.
-    Stop(CallName, u8),
+    Stop(CallUid, u8),
     /// A test.
-    Check(CallName),
+    Check(CallUid),
     /// Something free that means nothing here.
     Nothing,
 }
@@ -50,13 +50,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum FromExchange {
     /// The call stands.
-    Answer(CallName, Option<Arc<str>>),
+    Answer(CallUid, Option<Arc<str>>),
     /// A release, before or after the answer.
-    Stop(CallName, Outcome, Reason),
+    Stop(CallUid, Outcome, Reason),
     /// State of the group.
-    Usage(Report),
+    Usage(LoadReport),
     /// Answer to a test.
-    Checked(bool, Option<Report>),
+    Checked(bool, Option<LoadReport>),
     /// Something free that means nothing here.
     Nothing,
 }
@@ -65,7 +65,7 @@
 
 struct Line {
     kind: String,
-    call: CallName,
+    call: CallUid,
     fields: Object,
 }
 
@@ -89,7 +89,7 @@
         let text = std::str::from_utf8(line).map_err(|_| lost())?;
         let Ok(JsonValue::Object(fields)) = parse_json(text) else { return Err(lost()) };
         let uid = fields.get("uid").and_then(|v| v.get::<String>());
-        let call = uid.and_then(|uid| CallName::parse(uid)).ok_or(LineError::Unreadable)?;
+        let call = uid.and_then(|uid| CallUid::parse(uid)).ok_or(LineError::Unreadable)?;
         let kind = fields.get("kind").and_then(|v| v.get::<String>()).cloned();
         Ok(Self { kind: kind.ok_or(LineError::Call(call))?, call, fields })
     }
@@ -113,12 +113,12 @@
 }
 
 /// The call that a line names which cannot be read: malformed, or cut at the longest length.
-pub fn named_call(line: &[u8]) -> Option<CallName> {
+pub fn named_call(line: &[u8]) -> Option<CallUid> {
     let line = &line[..line.len().min(LONGEST)];
     let at = line.windows(5).position(|w| w == b"\"uid\"")?;
     let mut rest = line[at + 5..].trim_ascii_start().strip_prefix(b":")?.trim_ascii_start();
     rest = rest.strip_prefix(b"\"")?;
-    CallName::parse(std::str::from_utf8(rest.get(..16)?).ok()?)
+    CallUid::parse(std::str::from_utf8(rest.get(..16)?).ok()?)
 }
 
 /// Reads a line from a caller.
@@ -155,12 +155,12 @@
     Ok(SetUp {
         class: text(meta, "class").ok_or_else(wrong)?,
         received,
-        left: Some(span(number(meta, "left").filter(|n| *n >= 0.0).ok_or_else(wrong)?)),
-        key: Some(read_key(meta).ok_or_else(wrong)?),
+        remaining: Some(span(number(meta, "left").filter(|n| *n >= 0.0).ok_or_else(wrong)?)),
+        called_number: Some(read_key(meta).ok_or_else(wrong)?),
         dest: figure("dest", 0.0..=65_535.0)?.ok_or_else(wrong)? as u32,
         width: figure("width", 1.0..=65_535.0)?,
         transit_from: transit.then(|| via.unwrap_or(u32::MAX)),
-        advised: if transit { None } else { via },
+        advised_route: if transit { None } else { via },
         was_cut: flag("again")?,
         description: Some(line.body()?.ok_or_else(wrong)?),
     })
@@ -201,27 +201,27 @@
 /// for the engine to say, which knows whether there was one.
 fn read_end(line: &Line) -> (Outcome, Reason) {
     let outcome = match line.cause() {
-        Some(NORMAL) => Outcome::Ended,
-        Some(34) => Outcome::Full,
+        Some(NORMAL) => Outcome::Completed,
+        Some(34) => Outcome::Congested,
         Some(41) => Outcome::Reset,
-        Some(102) => Outcome::Moot,
+        Some(102) => Outcome::NotSent,
         _ => Outcome::Busy,
     };
     let meta = line.meta().ok();
     let waited = meta.and_then(|meta| number(meta, "waited")).unwrap_or(0.0).clamp(0.0, LONGEST_WAIT_MS);
     let reason = match meta.and_then(|meta| text(meta, "note")).as_deref() {
         Some("group_full") => Reason::NoCircuit,
-        Some("tandem_refused") => Reason::TurnedBack,
-        Some("destination_full") => Reason::FullBeyond,
+        Some("tandem_refused") => Reason::CrankBack,
+        Some("destination_full") => Reason::DestinationFull,
         Some("processor_full") => Reason::ProcessorFull(waited),
-        Some("user_busy") => Reason::LinesBusy,
-        _ => Reason::None,
+        Some("user_busy") => Reason::UserBusy,
+        _ => Reason::Unspecified,
     };
     (outcome, reason)
 }
 
 /// The values of `load`, such as `spare:27;total:137`. What is missing is no number, which the module skips.
-fn read_report(line: &Line, names: &[String]) -> Option<Report> {
+fn read_report(line: &Line, names: &[String]) -> Option<LoadReport> {
     let load = text(line.meta().ok()?, "load")?;
     let value = |name: &String| {
         let pair = load.split(';').filter_map(|pair| pair.split_once(':')).find(|(key, _)| key == name);
@@ -235,7 +235,7 @@
     JsonValue::String(text.to_owned()).stringify().unwrap_or_default()
 }
 
-fn line(kind: &str, call: CallName, meta: &str, cause: Option<u8>, body: Option<&str>) -> Vec<u8> {
+fn line(kind: &str, call: CallUid, meta: &str, cause: Option<u8>, body: Option<&str>) -> Vec<u8> {
     let mut line = format!(r#"{{"kind":"{kind}","uid":"{}","meta":{{{meta}}}"#, call.as_str());
     if let Some(cause) = cause {
         let _ = write!(line, r#","reason":{cause}"#);
@@ -252,23 +252,27 @@
 }
 
 /// A line to a caller.
-pub fn write_caller(call: CallName, word: &CallerWord) -> Vec<u8> {
+pub fn write_caller(call: CallUid, word: &CallerMessage) -> Vec<u8> {
     match word {
-        CallerWord::Answer { description } => line("running", call, "", None, description.as_deref()),
-        CallerWord::Refused { wait } if wait.is_zero() => line("stop", call, "", Some(34), None),
-        CallerWord::Refused { wait } => {
-            let wait = format!(r#""wait":"{}""#, whole_millis(*wait));
-            line("stop", call, &wait, Some(34), None)
+        CallerMessage::Answered { description } => line("running", call, "", None, description.as_deref()),
+        CallerMessage::Refused { retry_after } if retry_after.is_zero() => {
+            line("stop", call, "", Some(34), None)
+        }
+        CallerMessage::Refused { retry_after } => {
+            let retry_after = format!(r#""wait":"{}""#, whole_millis(*retry_after));
+            line("stop", call, &retry_after, Some(34), None)
+        }
+        CallerMessage::Failed { busy: true } => line("stop", call, "", Some(17), None),
+        CallerMessage::Failed { busy: false } => line("stop", call, "", Some(41), None),
+        CallerMessage::Released { cut } => line("stop", call, "", Some(if *cut { 41 } else { NORMAL }), None),
+        CallerMessage::HealthCheckResult { passed } => {
+            line("checked", call, "", Some((*passed).into()), None)
         }
-        CallerWord::Failed { busy: true } => line("stop", call, "", Some(17), None),
-        CallerWord::Failed { busy: false } => line("stop", call, "", Some(41), None),
-        CallerWord::Released { cut } => line("stop", call, "", Some(if *cut { 41 } else { NORMAL }), None),
-        CallerWord::Checked { passed } => line("checked", call, "", Some((*passed).into()), None),
     }
 }
 
 /// A set-up as a caller of the platform writes it, without its line feed.
-pub fn write_setup(call: CallName, class: &str, left: Duration, key: &str, dest: u32) -> String {
+pub fn write_setup(call: CallUid, class: &str, left: Duration, key: &str, dest: u32) -> String {
     let meta = format!(
         r#""class":{},"left":"{}","key":{},"extras":"dest:{dest};width:1;via:-1""#,
         quoted(class),
@@ -281,19 +285,19 @@
 }
 
 /// A line to an exchange.
-pub fn write_exchange(call: CallName, word: &PeerWord) -> Vec<u8> {
+pub fn write_exchange(call: CallUid, word: &ExchangeMessage) -> Vec<u8> {
     match word {
-        PeerWord::SetUp { class, key, left, description } => {
+        ExchangeMessage::SetUp { class, called_number, remaining, description } => {
             let mut meta = format!(r#""class":{}"#, quoted(class));
-            if let Some(key) = key {
-                let _ = write!(meta, r#","key":{}"#, quoted(key));
+            if let Some(called_number) = called_number {
+                let _ = write!(meta, r#","key":{}"#, quoted(called_number));
             }
-            let _ = write!(meta, r#","left":"{}""#, whole_millis(*left));
+            let _ = write!(meta, r#","left":"{}""#, whole_millis(*remaining));
             line("launch", call, &meta, None, description.as_deref())
         }
-        PeerWord::GiveUp => line("stop", call, "", Some(NORMAL), None),
-        PeerWord::Release { cause } => line("stop", call, "", Some(*cause), None),
-        PeerWord::Test => line("check", call, "", Some(1), None),
+        ExchangeMessage::Cancel => line("stop", call, "", Some(NORMAL), None),
+        ExchangeMessage::Release { cause } => line("stop", call, "", Some(*cause), None),
+        ExchangeMessage::Probe => line("check", call, "", Some(1), None),
     }
 }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -19,7 +19,7 @@
 use crate::config::Config;
 use crate::decide::SettingsError;
 use crate::edge::Edge;
-use crate::engine::{Engine, Front, Inheritance, Input};
+use crate::engine::{Engine, Front, HandoverState, Input};
 use crate::iax2::{Endpoint, Iax2Config};
 use connection::small_thread;
 use dns::Source;
@@ -116,7 +116,7 @@
 #[derive(Debug)]
 struct Succession {
     place: PathBuf,
-    handed: Option<(Handed, Inheritance)>,
+    handed: Option<(Handed, HandoverState)>,
 }
 
 impl Server {
@@ -247,7 +247,7 @@
             None => (None, None),
         };
         if handsets.is_some() {
-            inputs.push_back(Input::LinkUp { link: HANDSETS, front: Front::Handsets });
+            inputs.push_back(Input::CallerConnected { caller_conn: HANDSETS, front: Front::Iax2 });
         }
         let mut effects = Vec::new();
         let now = SystemTime::now();
@@ -365,7 +365,7 @@
     let follow = move || {
         let tell = |input| to_loop.send(Message::Input(input)).is_ok();
         let news = |serial, list: Option<_>| {
-            list.is_none_or(|list| tell(Input::List(list))) && tell(Input::Listed { serial })
+            list.is_none_or(|list| tell(Input::List(list))) && tell(Input::ListConfirmed { serial })
         };
         if let Err(error) = dns::follow(source, serial, seed, &moves, news) {
             tracing::error!(%error, "the resolver cannot be followed");
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' side: what their calls mean and how they are answered. No sockets here.
+//! Operators' HTTP requests: parsing and replies, without sockets.
 
 use httparse::{EMPTY_HEADER, Request, Status};
 use thiserror::Error;
@@ -9,118 +9,118 @@
 pub use figures::{Figures, Now};
 pub use fleet::{Fleet, Seen};
 
-/// Longest head of a call.
-pub const LONGEST_HEAD: usize = 4 * 1024;
-/// Most header fields of one.
-const MOST_FIELDS: usize = 32;
+/// Longest head of a request, in bytes.
+pub const MAX_HEAD_BYTES: usize = 4 * 1024;
+/// Maximum number of header fields of a request.
+const MAX_HEADER_FIELDS: usize = 32;
 
-/// What operators may ask.
+/// A request of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum OperatorRequest {
     /// Whether this process can serve.
     Readiness,
-    /// The figures.
-    Stats,
-    /// Send the callers away.
+    /// Metrics of this process.
+    Metrics,
+    /// Start a drain: callers are sent away and their connections closed.
     DrainStart,
-    /// Go back to work.
+    /// End the drain and accept calls again.
     DrainStop,
-    /// What this softswitch knows of the fleet, for consoles.
+    /// State of the fleet as known to this softswitch, for consoles.
     Fleet,
 }
 
-/// Each call: its path, the one method that it takes, what it asks.
-const CALLS: [(&str, &str, Order); 5] = [
-    ("/ops/readiness", "GET", Order::Readiness),
-    ("/ops/stats", "GET", Order::Stats),
-    ("/ops/drain/start", "PUT", Order::DrainStart),
-    ("/ops/drain/stop", "PUT", Order::DrainStop),
-    ("/edge/fleet", "GET", Order::Fleet),
+/// Each endpoint: path, method and request.
+const ENDPOINTS: [(&str, &str, OperatorRequest); 5] = [
+    ("/ops/readiness", "GET", OperatorRequest::Readiness),
+    ("/ops/stats", "GET", OperatorRequest::Metrics),
+    ("/ops/drain/start", "PUT", OperatorRequest::DrainStart),
+    ("/ops/drain/stop", "PUT", OperatorRequest::DrainStop),
+    ("/edge/fleet", "GET", OperatorRequest::Fleet),
 ];
 
-/// Why a call is turned away without being heard.
+/// Why a request is rejected before it is handled.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum CallError {
-    /// It is no HTTP.
+pub enum RequestError {
+    /// Not a valid HTTP request.
     #[error("not an HTTP request")]
     Malformed,
-    /// Its head does not end.
+    /// The head is too long or has too many fields.
     #[error("the head of the request is too long")]
     TooLong,
-    /// Nothing is there.
+    /// No endpoint has this path.
     #[error("no such path")]
     UnknownPath,
-    /// It is there, but takes another method.
+    /// The endpoint takes another method, the one given.
     #[error("this path takes {0} only")]
     WrongMethod(&'static str),
 }
 
-/// The answer to a call.
+/// Reply to an operator's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reply {
-    /// Yes.
+pub enum OperatorReply {
+    /// The request was carried out, or the answer is yes.
     Done,
-    /// Not yet.
+    /// Not ready to serve.
     NotReady,
-    /// The figures.
-    Figures(String),
-    /// What is known of the fleet, as JSON.
+    /// Metrics as text.
+    Metrics(String),
+    /// State of the fleet, as JSON.
     Fleet(String),
-    /// Turned away.
-    Refused(CallError),
+    /// The request is rejected.
+    Rejected(RequestError),
 }
 
-/// Reads the head of a call; `None` while it is not whole. A body means nothing and is not waited for. What lies under
-/// `/edge/` is there only where the settings turn it on.
+/// Parses the head of a request; `None` while it is incomplete. A body is ignored and not waited for. Paths below
+/// `/edge/` exist only where the settings enable them.
 ///
 /// # Errors
-/// If it is not one of the calls; the error says why.
-pub fn read(head: &[u8], edge: bool) -> Result<Option<Order>, CallError> {
-    let mut fields = [EMPTY_HEADER; MOST_FIELDS];
+/// If the request matches no endpoint; the error says why.
+pub fn parse_request(head: &[u8], edge_enabled: bool) -> Result<Option<OperatorRequest>, RequestError> {
+    let mut fields = [EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut request = Request::new(&mut fields);
     match request.parse(head) {
         Ok(Status::Complete(_)) => {}
-        Ok(Status::Partial) if head.len() < LONGEST_HEAD => return Ok(None),
-        Ok(Status::Partial) | Err(httparse::Error::TooManyHeaders) => return Err(CallError::TooLong),
-        Err(_) => return Err(CallError::Malformed),
+        Ok(Status::Partial) if head.len() < MAX_HEAD_BYTES => return Ok(None),
+        Ok(Status::Partial) | Err(httparse::Error::TooManyHeaders) => return Err(RequestError::TooLong),
+        Err(_) => return Err(RequestError::Malformed),
     }
     let (Some(target), Some(method)) = (request.path, request.method) else {
-        return Err(CallError::Malformed);
+        return Err(RequestError::Malformed);
     };
     let path = target.split('?').next().unwrap_or_default();
-    let there = |known: &str| known == path && (edge || !known.starts_with("/edge/"));
-    let call = CALLS.iter().find(|(known, ..)| there(known)).ok_or(CallError::UnknownPath)?;
-    if call.1 == method { Ok(Some(call.2)) } else { Err(CallError::WrongMethod(call.1)) }
+    let matches = |known: &str| known == path && (edge_enabled || !known.starts_with("/edge/"));
+    let endpoint = ENDPOINTS.iter().find(|(known, ..)| matches(known)).ok_or(RequestError::UnknownPath)?;
+    if endpoint.1 == method { Ok(Some(endpoint.2)) } else { Err(RequestError::WrongMethod(endpoint.1)) }
 }
 
-/// An answer as it is sent. One call to a connection: each says that it is the last.
-pub fn write(reply: &Reply) -> Vec<u8> {
+/// Formats a reply as HTTP. A connection carries one request, so each reply closes it.
+pub fn format_reply(reply: &OperatorReply) -> Vec<u8> {
     let (status, text) = match reply {
-        Reply::Done => ("200 OK", "yes\n".to_owned()),
-        Reply::NotReady => ("503 Service Unavailable", "no\n".to_owned()),
-        Reply::Figures(text) | Reply::Fleet(text) => ("200 OK", text.clone()),
-        Reply::Refused(error) => {
+        OperatorReply::Done => ("200 OK", "yes\n".to_owned()),
+        OperatorReply::NotReady => ("503 Service Unavailable", "no\n".to_owned()),
+        OperatorReply::Metrics(text) | OperatorReply::Fleet(text) => ("200 OK", text.clone()),
+        OperatorReply::Rejected(error) => {
             let status = match error {
-                CallError::Malformed => "400 Bad Request",
-                CallError::TooLong => "431 Request Header Fields Too Large",
-                CallError::UnknownPath => "404 Not Found",
-                CallError::WrongMethod(_) => "405 Method Not Allowed",
+                RequestError::Malformed => "400 Bad Request",
+                RequestError::TooLong => "431 Request Header Fields Too Large",
+                RequestError::UnknownPath => "404 Not Found",
+                RequestError::WrongMethod(_) => "405 Method Not Allowed",
             };
             (status, format!("{error}\n"))
         }
     };
     let allow = match reply {
-        Reply::Refused(CallError::WrongMethod(method)) => format!("Allow: {method}\r\n"),
+        OperatorReply::Rejected(RequestError::WrongMethod(method)) => format!("Allow: {method}\r\n"),
         _ => String::new(),
     };
-    let kind = match reply {
-        Reply::Fleet(_) => "application/json",
-        Reply::Figures(_) => "text/plain; version=0.0.4; charset=utf-8",
+    let content_type = match reply {
+        OperatorReply::Fleet(_) => "application/json",
+        OperatorReply::Metrics(_) => "text/plain; version=0.0.4; charset=utf-8",
         _ => "text/plain; charset=utf-8",
     };
     let length = text.len();
     format!(
-        "HTTP/1.1 {status}\r\nContent-Type: {kind}\r\nContent-Length: {length}\r\n{allow}Connection: close\r\n\r\n{text}"
+        "HTTP/1.1 {status}\r\nContent-Type: {content_type}\r\nContent-Length: {length}\r\n{allow}Connection: close\r\n\r\n{text}"
     )
     .into_bytes()
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -10,8 +10,8 @@
 
 use crate::config::report_field;
 use crate::interface::{
-    Action, Class, Event, ExchangeId, FarReports, ListKind, Listed, NewCall, Outcome, Readiness, Reason,
-    Report, ReportField, Settings, Tenant,
+    Action, Class, Event, ExchangeId, ListUpdateKind, ListedExchange, LoadReport, LoadReportMode, NewCall,
+    Outcome, Readiness, Reason, ReportField, Settings, Tenant,
 };
 
 const HEADER_BYTES: usize = 16;
@@ -100,7 +100,7 @@
 
 /// Numbered lists of exchanges, which the whole process shares on the wire.
 #[derive(Debug, Default)]
-pub struct Banks(BTreeMap<u32, Vec<Listed>>);
+pub struct Banks(BTreeMap<u32, Vec<ListedExchange>>);
 
 /// The header of a batch.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -171,17 +171,17 @@
     let mut rows = slice(tail, offset, u64::from(count) * ENTRY_BYTES as u64, "census")?;
     let mut entries = Vec::with_capacity(count as usize);
     for _ in 0..count {
-        let born_ms = f64_of(&mut rows)?;
+        let started_ms = f64_of(&mut rows)?;
         let _nominal = f32_of(&mut rows)?;
         let (_sku, zone) = (u16_of(&mut rows)?, u16_of(&mut rows)?);
         let readiness = match u8_of(&mut rows)? {
             2 => Readiness::Ready,
             3 => Readiness::Draining,
-            0 => Readiness::Gone,
+            0 => Readiness::Removed,
             code => return Err(WireError::Unknown { what: "readiness", code: code.into() }),
         };
         let number = u16_of(&mut rows)?.into();
-        entries.push(Listed { id: exchange_of(&mut rows)?, number, zone, born_ms, readiness });
+        entries.push(ListedExchange { id: exchange_of(&mut rows)?, number, zone, started_ms, readiness });
     }
     banks.0.insert(bank, entries);
     Ok(())
@@ -198,50 +198,50 @@
         1010 => {
             let bank = u32_of(r)?;
             let kind = match u8_of(r)? {
-                0 => ListKind::Full,
-                1 => ListKind::Failed,
-                2 => ListKind::Changes,
-                3 => ListKind::Cached,
+                0 => ListUpdateKind::Complete,
+                1 => ListUpdateKind::FetchFailed,
+                2 => ListUpdateKind::Changes,
+                3 => ListUpdateKind::Cached,
                 code => return Err(WireError::Unknown { what: "kind of list", code: code.into() }),
             };
             let entries = match kind {
-                ListKind::Failed => Vec::new(),
+                ListUpdateKind::FetchFailed => Vec::new(),
                 _ => banks.0.get(&bank).ok_or(WireError::NoCensus(bank))?.clone(),
             };
             Event::List { kind, entries }
         }
         1080 => Event::Call(read_call(r)?),
-        1040 => Event::Stands {
+        1040 => Event::Answered {
             call: u32_of(r)?,
             attempt: u8_of(r)?.into(),
             exchange: exchange_of(r)?,
-            took_ms: f64_of(r)?,
+            elapsed_ms: f64_of(r)?,
         },
         1100 => {
             let (call, attempt, exchange) = (u32_of(r)?, u8_of(r)?.into(), exchange_of(r)?);
             let outcome = outcome_of(u16_of(r)?)?;
-            let took_ms = f64_of(r)?;
-            let closed = u8_of(r)? != 0;
+            let elapsed_ms = f64_of(r)?;
+            let call_closed = u8_of(r)? != 0;
             let reason = reason_of(u32_of(r)?);
-            Event::Outcome {
+            Event::AttemptEnded {
                 call,
                 attempt,
                 exchange,
                 outcome,
                 reason,
-                took_ms,
-                closed,
+                elapsed_ms,
+                call_closed,
                 report: report_of(r)?,
             }
         }
-        1050 => Event::Left { call: u32_of(r)? },
-        1000 => Event::Timer { tag: u64_of(r)? },
+        1050 => Event::Abandoned { call: u32_of(r)? },
+        1000 => Event::TimerExpired { tag: u64_of(r)? },
         1110 => {
-            let (took_ms, exchange) = (f64_of(r)?, exchange_of(r)?);
-            let answered = outcome_of(u16_of(r)?)? == Outcome::Ended;
-            Event::Probed { exchange, answered, took_ms, report: report_of(r)? }
+            let (elapsed_ms, exchange) = (f64_of(r)?, exchange_of(r)?);
+            let answered = outcome_of(u16_of(r)?)? == Outcome::Completed;
+            Event::ProbeResult { exchange, answered, elapsed_ms, report: report_of(r)? }
         }
-        1060 => Event::Heard { from: u32_of(r)?, bytes: blob(r, tail, "peer message")?.to_vec() },
+        1060 => Event::PeerMessage { from: u32_of(r)?, bytes: blob(r, tail, "peer message")?.to_vec() },
         code => return Err(WireError::Unknown { what: "event code", code: code.into() }),
     };
     Ok(Message::Event(event))
@@ -252,10 +252,10 @@
     let _size_hint = f64_of(r)?;
     let bits = u16_of(r)?;
     let tenant = u16_of(r)?.into();
-    let called = u64_of(r)?;
+    let called_number = u64_of(r)?;
     let class = u8_of(r)?.into();
     let (route, width) = (f32_of(r)?, f32_of(r)?.into());
-    let left_ms = f64_of(r)?;
+    let remaining_ms = f64_of(r)?;
     let dest = number_of(f32_of(r)?).unwrap_or(u32::MAX);
     let transit = bits & 8 != 0;
     Ok(NewCall {
@@ -264,10 +264,10 @@
         tenant,
         width,
         dest,
-        called,
-        left_ms,
+        called_number,
+        remaining_ms,
         transit_from: transit.then(|| number_of(route).unwrap_or(u32::MAX)),
-        advised: if transit { None } else { number_of(route) },
+        advised_route: if transit { None } else { number_of(route) },
         redial: bits & 2 != 0,
         was_cut: bits & 16 != 0,
     })
@@ -275,14 +275,14 @@
 
 fn outcome_of(code: u16) -> Result<Outcome, WireError> {
     Ok(match code {
-        200 => Outcome::Ended,
+        200 => Outcome::Completed,
         500 => Outcome::Busy,
-        503 => Outcome::Full,
+        503 => Outcome::Congested,
         504 => Outcome::TimedOut,
         502 => Outcome::NoConnection,
         598 => Outcome::Reset,
         499 => Outcome::Cancelled,
-        410 => Outcome::Moot,
+        410 => Outcome::NotSent,
         code => return Err(WireError::Unknown { what: "completion code", code: code.into() }),
     })
 }
@@ -290,15 +290,15 @@
 fn reason_of(code: u32) -> Reason {
     match code % 16 {
         1 => Reason::NoCircuit,
-        2 if code == 18 => Reason::FullBeyond,
-        2 => Reason::TurnedBack,
+        2 if code == 18 => Reason::DestinationFull,
+        2 => Reason::CrankBack,
         3 => Reason::ProcessorFull(f64::from(code / 16)),
-        4 => Reason::LinesBusy,
-        _ => Reason::None,
+        4 => Reason::UserBusy,
+        _ => Reason::Unspecified,
     }
 }
 
-fn report_of(r: &mut &[u8]) -> Result<Option<Report>, WireError> {
+fn report_of(r: &mut &[u8]) -> Result<Option<LoadReport>, WireError> {
     let count = usize::from(u8_of(r)?);
     if count > 4 {
         return Err(WireError::Unknown { what: "length of a load report", code: count as u32 });
@@ -402,18 +402,18 @@
                 r.put_u32_le(*call);
                 r.put_u8(*attempt as u8);
             }),
-            Action::Timer { delay_ms, tag } => self.record(1040, |r, _| {
+            Action::SetTimer { delay_ms, tag } => self.record(1040, |r, _| {
                 r.put_f64_le(*delay_ms);
                 r.put_u64_le(*tag);
             }),
             Action::Probe { exchange } => self.record(1050, |r, _| put_exchange(r, *exchange)),
-            Action::Tell { to, bytes } => self.record(1070, |r, tail| {
+            Action::SendPeerMessage { to, bytes } => self.record(1070, |r, tail| {
                 r.put_u32_le(to.unwrap_or(EVERY_PEER));
                 put_blob(r, tail, bytes);
             }),
             Action::Subscribe => self.record(1100, |r, _| r.put_u8(1)),
             Action::FetchList => self.record(1110, |_, _| ()),
-            Action::Trace { text } => self.record(1080, |r, tail| put_blob(r, tail, text.as_bytes())),
+            Action::Log { text } => self.record(1080, |r, tail| put_blob(r, tail, text.as_bytes())),
         }
     }
 }
@@ -493,31 +493,35 @@
     let may_retry_after = keys.flag("policyLimits.retryAfter")?;
     let max_retry_after_ms = keys.at_least("policyLimits.maxRetryAfterMs", 0.0)?;
     Ok(Settings {
-        agents: keys.count("balancers")?.max(1),
+        agent_count: keys.count("balancers")?.max(1),
         self_index: keys.count("selfIndex")?,
         home: if pools { None } else { number_of(home as f32) },
         classes: read_classes(&keys, pools)?,
         tenants: read_tenants(&keys)?,
-        over_share_worth: keys.at_least("overShareWorth", 0.0)?,
-        must_ask: keys.choice("discovery", &[("push", false), ("ask", true)])?,
-        ask_every_ms: keys.at_least("invariants.askEveryMs", 0.0)?,
-        report: read_report_fields(&keys)?,
-        far_reports: keys.choice(
+        over_quota_worth_factor: keys.at_least("overShareWorth", 0.0)?,
+        must_fetch_list: keys.choice("discovery", &[("push", false), ("ask", true)])?,
+        list_fetch_interval_ms: keys.at_least("invariants.askEveryMs", 0.0)?,
+        report_fields: read_report_fields(&keys)?,
+        load_report_mode: keys.choice(
             "specifics.farState",
-            &[("inline", FarReports::Inline), ("on_probe", FarReports::OnProbe), ("off", FarReports::Off)],
+            &[
+                ("inline", LoadReportMode::Inline),
+                ("on_probe", LoadReportMode::OnProbe),
+                ("off", LoadReportMode::Off),
+            ],
         )?,
-        try_limit: keys.count("policyLimits.tryLimit")?,
+        attempt_limit: keys.count("policyLimits.tryLimit")?,
         may_cancel: keys.flag("policyLimits.cancelling")?,
         may_probe: keys.flag("policyLimits.probes")?,
-        may_tell: keys.flag("policyLimits.mayTell")?,
+        may_message_peers: keys.flag("policyLimits.mayTell")?,
         max_retry_after_ms: if may_retry_after { max_retry_after_ms } else { 0.0 },
         drain_grace_ms: keys.at_least("invariants.stopSendingWithinMs", 0.0)?,
-        release_ms: keys.at_least("specifics.releaseMs", 0.0)?,
-        cold_from: keys.at_least("invariants.coldFrom", 0.0)?,
-        cold_ms: keys.at_least("invariants.coldMs", 0.0)?,
-        fall_multiple: keys.at_least("invariants.fallMultiple", 0.0)?,
-        fall_ms: keys.at_least("invariants.tipAfterMs", 0.0)?,
-        resend_ms: keys.at_least("specifics.resendMs", 0.0)?,
+        release_pause_ms: keys.at_least("specifics.releaseMs", 0.0)?,
+        cold_initial_capacity: keys.at_least("invariants.coldFrom", 0.0)?,
+        cold_period_ms: keys.at_least("invariants.coldMs", 0.0)?,
+        overload_factor: keys.at_least("invariants.fallMultiple", 0.0)?,
+        overload_duration_ms: keys.at_least("invariants.tipAfterMs", 0.0)?,
+        retransmit_ms: keys.at_least("specifics.resendMs", 0.0)?,
         tick_ms: keys.at_least("tickMs", 0.0)?,
     })
 }
@@ -534,12 +538,12 @@
                 value.ok_or_else(|| bad(key, keys.0.get(key).unwrap_or(&""), "which lacks a class"))
             };
             Ok(Class {
-                aim_ms: keys.at_least(&key("aimMs"), 0.0)?,
+                target_setup_ms: keys.at_least(&key("aimMs"), 0.0)?,
                 worth: keys.at_least(&key("worth"), 0.0)?,
-                late_share: keys.at_least(&key("lateShare"), 0.0)?,
+                late_worth_factor: keys.at_least(&key("lateShare"), 0.0)?,
                 width: listed(&widths, "specifics.channelsNeeded")?,
-                hold_ms: listed(&holds, "specifics.classHoldMs")?,
-                repeatable: keys
+                mean_hold_ms: listed(&holds, "specifics.classHoldMs")?,
+                idempotent: keys
                     .choice(&key("semantics"), &[("pure", true), ("token", false), ("side_effect", false)])?,
                 pools: if pools { read_cells(keys, i)? } else { Vec::new() },
             })
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -6,7 +6,7 @@
 use std::process::{Command, Stdio};
 
 use common::settings_text;
-use swiftlb::interface::{Action, Event, ExchangeId, ListKind, Outcome, Readiness, Reason};
+use swiftlb::interface::{Action, Event, ExchangeId, ListUpdateKind, Outcome, Readiness, Reason};
 use swiftlb::wire::{Banks, Header, Message, Reply, WireError, read_batch, read_settings};
 
 struct Batch {
@@ -79,9 +79,9 @@
     let got = Batch::new().to(3).record(1080, &[&fields]).read().unwrap();
     let [(3, Message::Event(Event::Call(call)))] = &got[..] else { panic!("{got:?}") };
     assert_eq!((call.call, call.class, call.tenant), (0x5d3a_91c4, 2, 1));
-    assert_eq!((call.width, call.left_ms, call.dest), (2.0, 240.0, 57));
+    assert_eq!((call.width, call.remaining_ms, call.dest), (2.0, 240.0, 57));
     assert_eq!(call.transit_from, Some(256));
-    assert_eq!(call.advised, None);
+    assert_eq!(call.advised_route, None);
     assert!(!call.redial && !call.was_cut);
 }
 
@@ -94,13 +94,13 @@
     let [
         (
             3,
-            Message::Event(Event::Outcome {
+            Message::Event(Event::AttemptEnded {
                 attempt,
                 exchange,
                 outcome,
                 reason,
-                took_ms,
-                closed,
+                elapsed_ms,
+                call_closed,
                 report,
                 ..
             }),
@@ -109,20 +109,20 @@
     else {
         panic!("{got:?}")
     };
-    assert_eq!((*attempt, *exchange, *outcome, *closed), (2, PLACE, Outcome::Full, false));
-    assert_eq!((*reason, *took_ms), (Reason::ProcessorFull(19.0), 18.5));
+    assert_eq!((*attempt, *exchange, *outcome, *call_closed), (2, PLACE, Outcome::Congested, false));
+    assert_eq!((*reason, *elapsed_ms), (Reason::ProcessorFull(19.0), 18.5));
     assert_eq!(report.as_ref().map(Vec::len), Some(3));
 }
 
 #[test]
 fn reason_codes_map_to_reasons() {
     for (code, reason) in [
-        (0u32, Reason::None),
+        (0u32, Reason::Unspecified),
         (1, Reason::NoCircuit),
-        (2, Reason::TurnedBack),
-        (18, Reason::FullBeyond),
+        (2, Reason::CrankBack),
+        (18, Reason::DestinationFull),
         (3, Reason::ProcessorFull(0.0)),
-        (4, Reason::LinesBusy),
+        (4, Reason::UserBusy),
     ] {
         let got = Batch::new()
             .to(0)
@@ -130,7 +130,7 @@
             .read()
             .unwrap();
         assert!(
-            matches!(&got[0].1, Message::Event(Event::Outcome { reason: r, report: None, .. }) if *r == reason)
+            matches!(&got[0].1, Message::Event(Event::AttemptEnded { reason: r, report: None, .. }) if *r == reason)
         );
     }
 }
@@ -159,13 +159,13 @@
     assert_eq!(
         lists,
         [
-            (ListKind::Cached, Some(Readiness::Ready)),
-            (ListKind::Changes, Some(Readiness::Draining)),
-            (ListKind::Failed, None)
+            (ListUpdateKind::Cached, Some(Readiness::Ready)),
+            (ListUpdateKind::Changes, Some(Readiness::Draining)),
+            (ListUpdateKind::FetchFailed, None)
         ]
     );
     let Message::Event(Event::List { entries, .. }) = &got[0].1 else { unreachable!() };
-    assert_eq!((entries[0].id, entries[0].number, entries[0].born_ms), (PLACE, 7, 6100.0));
+    assert_eq!((entries[0].id, entries[0].number, entries[0].started_ms), (PLACE, 7, 6100.0));
 }
 
 #[test]
@@ -182,16 +182,16 @@
         .read()
         .unwrap();
     let want = [
-        Message::Event(Event::Stands { call: 7, attempt: 1, exchange: PLACE, took_ms: 9.25 }),
-        Message::Event(Event::Left { call: 7 }),
-        Message::Event(Event::Timer { tag: 0x4d }),
-        Message::Event(Event::Probed {
+        Message::Event(Event::Answered { call: 7, attempt: 1, exchange: PLACE, elapsed_ms: 9.25 }),
+        Message::Event(Event::Abandoned { call: 7 }),
+        Message::Event(Event::TimerExpired { tag: 0x4d }),
+        Message::Event(Event::ProbeResult {
             exchange: PLACE,
             answered: true,
-            took_ms: 0.0,
+            elapsed_ms: 0.0,
             report: Some(vec![5.0]),
         }),
-        Message::Event(Event::Heard { from: 2, bytes: b"hi C".to_vec() }),
+        Message::Event(Event::PeerMessage { from: 2, bytes: b"hi C".to_vec() }),
         Message::Stop,
     ];
     assert_eq!(got.into_iter().map(|(_, message)| message).collect::<Vec<_>>(), want);
@@ -205,11 +205,11 @@
         3,
         &[
             Action::Send { call: 0x5d3a_91c4, exchange: PLACE, timeout_ms: 80.0 },
-            Action::Timer { delay_ms: 500.0, tag: 0x4d },
+            Action::SetTimer { delay_ms: 500.0, tag: 0x4d },
         ],
     );
     reply.push(4, &[]);
-    reply.push(5, &[Action::Trace { text: "two servers silent".to_owned() }]);
+    reply.push(5, &[Action::Log { text: "two servers silent".to_owned() }]);
     let want = "8a000000 05000000
         6004 0300 0000000000000000000000000000000000000000
         e803 c4913a5d 0000000000005440 0a124a07 431f 00000000
@@ -225,8 +225,8 @@
             Action::Fail { call: 2 },
             Action::Cancel { call: 3, attempt: 4 },
             Action::Probe { exchange: PLACE },
-            Action::Tell { to: None, bytes: vec![1, 2, 3] },
-            Action::Tell { to: Some(2), bytes: vec![9] },
+            Action::SendPeerMessage { to: None, bytes: vec![1, 2, 3] },
+            Action::SendPeerMessage { to: Some(2), bytes: vec![9] },
             Action::Subscribe,
             Action::FetchList,
         ],
@@ -299,7 +299,7 @@
 fn settings_are_read_and_bad_ones_name_their_key() {
     let text = settings_text();
     let settings = read_settings(&text).unwrap();
-    assert_eq!((settings.agents, settings.home, settings.classes.len()), (4, Some(0), 3));
+    assert_eq!((settings.agent_count, settings.home, settings.classes.len()), (4, Some(0), 3));
     assert_eq!((settings.classes[1].width, settings.classes[1].worth), (2.0, 4.0));
     assert_eq!(read_settings(&format!("{text}future.key=odd words\n")).unwrap(), settings);
     for key in ["balancers", "classes.1.aimMs", "specifics.releaseMs", "invariants.coldFrom", "report.fields"]
--- a/tests/common/desk.rs
+++ b/tests/common/desk.rs
@@ -6,7 +6,8 @@
 
 use swiftlb::config::Config;
 use swiftlb::engine::{
-    CallName, CallerWord, ConnId, Effect, Engine, Entry, Front, Input, LinkId, PeerWord, SetUp,
+    CallUid, CallerConnId, CallerMessage, Effect, Engine, ExchangeConnId, ExchangeMessage, Front, Input,
+    ListEntry, SetUp,
 };
 use swiftlb::interface::{NewCall, Outcome, Readiness, Reason};
 
@@ -60,17 +61,17 @@
         tenant: 0,
         width: 1.0,
         dest,
-        called: 0,
-        left_ms: 3_000.0,
+        called_number: 0,
+        remaining_ms: 3_000.0,
         transit_from: None,
-        advised: None,
+        advised_route: None,
         redial: false,
         was_cut: false,
     }
 }
 
 /// The link on which the desk's calls come.
-pub const LINK: LinkId = 7;
+pub const LINK: CallerConnId = 7;
 
 /// One engine, and the time as the test tells it.
 pub struct Desk {
@@ -79,22 +80,22 @@
     /// Everything that has come out since it was last looked at.
     pub seen: Vec<Effect>,
     /// The latest way to each exchange, by its place in the list.
-    pub ways: Vec<(String, ConnId)>,
+    pub ways: Vec<(String, ExchangeConnId)>,
     /// On which way the latest set-up of each call went.
-    setups: Vec<(CallName, ConnId)>,
+    setups: Vec<(CallUid, ExchangeConnId)>,
 }
 
-pub fn name(call: u64) -> CallName {
-    CallName::from_u64(call)
+pub fn name(call: u64) -> CallUid {
+    CallUid::from_u64(call)
 }
 
-pub fn entry(place: usize, readiness: Readiness) -> Entry {
-    Entry {
+pub fn entry(place: usize, readiness: Readiness) -> ListEntry {
+    ListEntry {
         name: format!("s-{place}").into(),
         address: format!("10.0.0.{}:5070", place + 1).parse().expect("an address"),
         number: place as u32,
         zone: 0,
-        born: None,
+        started_at: None,
         readiness,
     }
 }
@@ -104,8 +105,8 @@
     pub fn new(exchanges: usize) -> Self {
         let mut desk = Self::unconnected(exchanges);
         for place in 1..exchanges {
-            let conn = desk.way(place);
-            desk.put(Input::Connected { conn, bound: false });
+            let exchange_conn = desk.way(place);
+            desk.put(Input::ExchangeConnected { exchange_conn, carries_calls: false });
         }
         desk.seen.clear();
         desk
@@ -118,16 +119,18 @@
         let engine = Engine::new(&config, now, &mut seen).expect("settings that make sense");
         let mut desk = Self { engine, now, seen, ways: Vec::new(), setups: Vec::new() };
         desk.note_ways(0);
-        desk.put(Input::LinkUp { link: LINK, front: Front::Platform });
+        desk.put(Input::CallerConnected { caller_conn: LINK, front: Front::JsonLines });
         desk
     }
 
     fn note_ways(&mut self, from: usize) {
         for effect in &self.seen[from..] {
             match effect {
-                Effect::Connect { conn, name, .. } => self.ways.push((name.to_string(), *conn)),
-                Effect::ToExchange { conn, call, word: PeerWord::SetUp { .. } } => {
-                    self.setups.push((*call, *conn));
+                Effect::ConnectExchange { exchange_conn, name, .. } => {
+                    self.ways.push((name.to_string(), *exchange_conn))
+                }
+                Effect::ToExchange { exchange_conn, call, message: ExchangeMessage::SetUp { .. } } => {
+                    self.setups.push((*call, *exchange_conn));
                 }
                 _ => {}
             }
@@ -135,15 +138,22 @@
     }
 
     /// The latest way asked for to the exchange at this place.
-    pub fn way(&self, place: usize) -> ConnId {
+    pub fn way(&self, place: usize) -> ExchangeConnId {
         let name = format!("s-{place}");
         self.ways.iter().rev().find(|(n, _)| *n == name).expect("a way").1
     }
 
     /// The way to the exchange at this place on which a call's set-up went, else the latest.
-    fn way_of(&self, call: u64, place: usize) -> ConnId {
-        let there = |conn: &ConnId| self.ways.iter().any(|(n, c)| c == conn && *n == format!("s-{place}"));
-        let mut went = self.setups.iter().rev().filter(|(c, _)| *c == name(call)).map(|(_, conn)| *conn);
+    fn way_of(&self, call: u64, place: usize) -> ExchangeConnId {
+        let there = |exchange_conn: &ExchangeConnId| {
+            self.ways.iter().any(|(n, c)| c == exchange_conn && *n == format!("s-{place}"))
+        };
+        let mut went = self
+            .setups
+            .iter()
+            .rev()
+            .filter(|(c, _)| *c == name(call))
+            .map(|(_, exchange_conn)| *exchange_conn);
         went.find(there).unwrap_or_else(|| self.way(place))
     }
 
@@ -167,12 +177,12 @@
         SetUp {
             class: "status".to_owned(),
             received: self.now,
-            left: Some(Duration::from_millis(left)),
-            key: Some("7f3a9c21e0b4d655".to_owned()),
+            remaining: Some(Duration::from_millis(left)),
+            called_number: Some("7f3a9c21e0b4d655".to_owned()),
             dest,
             width: Some(1.0),
             transit_from: None,
-            advised: None,
+            advised_route: None,
             was_cut: false,
             description: Some(Arc::from("v=0\r\n")),
         }
@@ -180,33 +190,35 @@
 
     pub fn call(&mut self, call: u64, dest: u32, left: u64) {
         let setup = self.setup(dest, left);
-        self.put(Input::SetUp { link: LINK, call: name(call), setup });
+        self.put(Input::SetUp { caller_conn: LINK, call: name(call), setup });
     }
 
     pub fn answer(&mut self, call: u64, place: usize) {
-        let conn = self.way_of(call, place);
+        let exchange_conn = self.way_of(call, place);
         let description = Some(Arc::from("answer"));
-        self.put(Input::Answered { conn, call: name(call), description });
+        self.put(Input::Answered { exchange_conn, call: name(call), description });
     }
 
     pub fn end(&mut self, call: u64, place: usize, outcome: Outcome, reason: Reason) {
-        let conn = self.way_of(call, place);
-        self.put(Input::Ended { conn, call: name(call), outcome, reason });
+        let exchange_conn = self.way_of(call, place);
+        self.put(Input::Ended { exchange_conn, call: name(call), outcome, reason });
     }
 
     /// What callers were told of this call.
-    pub fn told(&self, call: u64) -> Vec<CallerWord> {
+    pub fn told(&self, call: u64) -> Vec<CallerMessage> {
         let told = self.seen.iter().filter_map(|effect| match effect {
-            Effect::ToCaller { call: c, word, .. } if *c == name(call) => Some(word.clone()),
+            Effect::ToCaller { call: c, message, .. } if *c == name(call) => Some(message.clone()),
             _ => None,
         });
         told.collect()
     }
 
     /// What exchanges were told of this call, with the way it went.
-    pub fn sent(&self, call: u64) -> Vec<(ConnId, PeerWord)> {
+    pub fn sent(&self, call: u64) -> Vec<(ExchangeConnId, ExchangeMessage)> {
         let sent = self.seen.iter().filter_map(|effect| match effect {
-            Effect::ToExchange { conn, call: c, word } if *c == name(call) => Some((*conn, word.clone())),
+            Effect::ToExchange { exchange_conn, call: c, message } if *c == name(call) => {
+                Some((*exchange_conn, message.clone()))
+            }
             _ => None,
         });
         sent.collect()
@@ -219,6 +231,6 @@
 
     /// Set-ups sent for this call.
     pub fn setups(&self, call: u64) -> usize {
-        self.sent(call).iter().filter(|(_, word)| matches!(word, PeerWord::SetUp { .. })).count()
+        self.sent(call).iter().filter(|(_, word)| matches!(word, ExchangeMessage::SetUp { .. })).count()
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -34,7 +34,8 @@
 
 use swiftlb::Controller;
 use swiftlb::interface::{
-    Action, CallId, Event, ExchangeId, ListKind, Listed, NewCall, Number, Outcome, Readiness, Reason,
+    Action, CallId, Event, ExchangeId, ListUpdateKind, ListedExchange, NewCall, Number, Outcome, Readiness,
+    Reason,
 };
 
 /// Seeds that a test of a random choice is repeated with.
@@ -74,8 +75,8 @@
     Number::from(id.address[3])
 }
 
-pub fn listed(number: Number, readiness: Readiness, born_ms: f64) -> Listed {
-    Listed { id: place(number), number, zone: 0, born_ms, readiness }
+pub fn listed(number: Number, readiness: Readiness, started_ms: f64) -> ListedExchange {
+    ListedExchange { id: place(number), number, zone: 0, started_ms, readiness }
 }
 
 impl Host {
@@ -85,7 +86,7 @@
         let controller = Controller::new(settings.clone(), seed).expect("the settings make sense");
         let mut host = Self { settings, controller, now: START };
         let entries = (0..exchanges).map(|n| listed(n, Readiness::Ready, 0.0)).collect();
-        host.event(Event::List { kind: ListKind::Cached, entries });
+        host.event(Event::List { kind: ListUpdateKind::Cached, entries });
         host
     }
 
@@ -99,7 +100,7 @@
         self.controller = Controller::new(settings.clone(), seed).expect("the settings make sense");
         self.settings = settings;
         let entries = (0..exchanges).map(|n| listed(n, Readiness::Ready, 0.0)).collect();
-        self.event(Event::List { kind: ListKind::Cached, entries })
+        self.event(Event::List { kind: ListUpdateKind::Cached, entries })
     }
 
     pub fn event(&mut self, event: Event) -> Answer {
@@ -114,15 +115,18 @@
 
     pub fn free(&mut self, to: Number, free: f64, total: f64) {
         let report = Some(vec![free, total, -1.0]);
-        self.event(Event::Probed { exchange: place(to), answered: true, took_ms: 0.0, report });
+        self.event(Event::ProbeResult { exchange: place(to), answered: true, elapsed_ms: 0.0, report });
     }
 
-    pub fn list(&mut self, to: Number, readiness: Readiness, born_ms: f64) {
-        self.event(Event::List { kind: ListKind::Changes, entries: vec![listed(to, readiness, born_ms)] });
+    pub fn list(&mut self, to: Number, readiness: Readiness, started_ms: f64) {
+        self.event(Event::List {
+            kind: ListUpdateKind::Changes,
+            entries: vec![listed(to, readiness, started_ms)],
+        });
     }
 
     pub fn hear(&mut self, from: u32, bytes: &[u8]) {
-        self.event(Event::Heard { from, bytes: bytes.to_vec() });
+        self.event(Event::PeerMessage { from, bytes: bytes.to_vec() });
     }
 
     pub fn call(&mut self, call: CallId, class: usize, dest: Number) -> Answer {
@@ -143,7 +147,7 @@
         class: usize,
         dest: Number,
         transit_from: Option<Number>,
-        called: u64,
+        called_number: u64,
     ) -> Answer {
         let width = self.settings.classes[class].width;
         self.event(Event::Call(NewCall {
@@ -152,17 +156,17 @@
             tenant: 0,
             width,
             dest,
-            called,
-            left_ms: 3_000.0,
+            called_number,
+            remaining_ms: 3_000.0,
             transit_from,
-            advised: None,
+            advised_route: None,
             redial: false,
             was_cut: false,
         }))
     }
 
-    pub fn stands(&mut self, call: CallId, to: Number, took_ms: f64) {
-        self.event(Event::Stands { call, attempt: 0, exchange: place(to), took_ms });
+    pub fn stands(&mut self, call: CallId, to: Number, elapsed_ms: f64) {
+        self.event(Event::Answered { call, attempt: 0, exchange: place(to), elapsed_ms });
     }
 
     pub fn outcome(
@@ -174,14 +178,14 @@
         reason: Reason,
     ) -> Answer {
         let exchange = place(to);
-        self.event(Event::Outcome {
+        self.event(Event::AttemptEnded {
             call,
             attempt,
             exchange,
             outcome,
             reason,
-            took_ms: 40.0,
-            closed: false,
+            elapsed_ms: 40.0,
+            call_closed: false,
             report: None,
         })
     }
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -7,26 +7,28 @@
 
 use desk::{Desk, LINK, name};
 use peers::{Exchange, Lines, Phone, Switch, launch};
-use swiftlb::engine::{CallerWord, Effect, Front, Input};
+use swiftlb::engine::{CallerMessage, Effect, Front, Input};
 use swiftlb::iax2::frame::{Kind, control, iax};
 use swiftlb::interface::{Outcome, Reason};
-use swiftlb::ops::{Order, Reply};
+use swiftlb::ops::{OperatorReply, OperatorRequest};
 
-fn order(desk: &mut Desk, order: Order) {
-    desk.put(Input::Operator { ticket: 1, order });
+fn order(desk: &mut Desk, request: OperatorRequest) {
+    desk.put(Input::OperatorRequest { request_id: 1, request });
 }
 
 /// What the front's test says now.
 fn takes_work(desk: &mut Desk) -> bool {
     desk.seen.clear();
-    desk.put(Input::Check { link: LINK, call: name(99) });
-    desk.told(99) == [CallerWord::Checked { passed: true }]
+    desk.put(Input::HealthCheck { caller_conn: LINK, call: name(99) });
+    desk.told(99) == [CallerMessage::HealthCheckResult { passed: true }]
 }
 
 /// Ways to callers that were to be closed since it was last looked at.
 fn closed(desk: &Desk) -> Vec<u64> {
     let closed = desk.seen.iter().filter_map(|effect| match effect {
-        Effect::CloseIfQuiet { link } | Effect::CloseLink { link } => Some(*link),
+        Effect::CloseCallerConnIfIdle { caller_conn } | Effect::CloseCallerConn { caller_conn } => {
+            Some(*caller_conn)
+        }
         _ => None,
     });
     closed.collect()
@@ -36,19 +38,19 @@
 fn the_test_fails_at_once_and_passes_again_at_once() {
     let mut desk = Desk::new(3);
     assert!(takes_work(&mut desk));
-    order(&mut desk, Order::DrainStart);
+    order(&mut desk, OperatorRequest::DrainStart);
     assert!(!takes_work(&mut desk));
     // A second order is as good as one.
-    order(&mut desk, Order::DrainStart);
+    order(&mut desk, OperatorRequest::DrainStart);
     desk.pass(5_000);
     assert!(!takes_work(&mut desk));
     // The process still can serve, which is another question.
-    order(&mut desk, Order::Readiness);
-    assert!(desk.seen.contains(&Effect::ToOperator { ticket: 1, reply: Reply::Done }));
-    order(&mut desk, Order::DrainStop);
+    order(&mut desk, OperatorRequest::Readiness);
+    assert!(desk.seen.contains(&Effect::ToOperator { request_id: 1, reply: OperatorReply::Done }));
+    order(&mut desk, OperatorRequest::DrainStop);
     assert!(takes_work(&mut desk));
-    order(&mut desk, Order::DrainStop);
-    desk.put(Input::LinkUp { link: 8, front: Front::Platform });
+    order(&mut desk, OperatorRequest::DrainStop);
+    desk.put(Input::CallerConnected { caller_conn: 8, front: Front::JsonLines });
     desk.call(1, 1, 3_000);
     desk.answer(1, 1);
     desk.pass(1_000);
@@ -58,16 +60,16 @@
 #[test]
 fn a_connection_is_closed_once_nothing_is_open_on_it_and_calls_are_served_meanwhile() {
     let mut desk = Desk::new(3);
-    order(&mut desk, Order::DrainStart);
+    order(&mut desk, OperatorRequest::DrainStart);
     desk.call(1, 1, 3_000);
-    desk.put(Input::LinkUp { link: 8, front: Front::Platform });
+    desk.put(Input::CallerConnected { caller_conn: 8, front: Front::JsonLines });
     desk.pass(290);
     assert_eq!(closed(&desk), [0; 0], "the front may still be sending");
     desk.pass(20);
     assert_eq!(closed(&desk), [8], "one with an open set-up stays");
     desk.seen.clear();
-    desk.end(1, 1, Outcome::Busy, Reason::LinesBusy);
-    assert_eq!(desk.told(1), [CallerWord::Failed { busy: true }]);
+    desk.end(1, 1, Outcome::Busy, Reason::UserBusy);
+    assert_eq!(desk.told(1), [CallerMessage::Failed { busy: true }]);
     assert_eq!(closed(&desk), [LINK], "closed behind its answer");
 }
 
@@ -75,7 +77,7 @@
 fn a_connection_that_goes_on_being_used_is_emptied_in_time() {
     let mut desk = Desk::new(3);
     desk.call(1, 1, 3_000);
-    order(&mut desk, Order::DrainStart);
+    order(&mut desk, OperatorRequest::DrainStart);
     desk.pass(1_500);
     desk.call(2, 1, 3_000);
     desk.pass(1_000);
@@ -83,7 +85,7 @@
     desk.pass(1_250);
     assert!(closed(&desk).contains(&LINK));
     for call in [2, 3] {
-        assert_eq!(desk.told(call), [CallerWord::Failed { busy: false }], "one answer each");
+        assert_eq!(desk.told(call), [CallerMessage::Failed { busy: false }], "one answer each");
     }
 }
 
@@ -92,18 +94,18 @@
     let mut desk = Desk::new(3);
     desk.call(1, 1, 3_000);
     desk.answer(1, 1);
-    desk.put(Input::LinkUp { link: 8, front: Front::Platform });
+    desk.put(Input::CallerConnected { caller_conn: 8, front: Front::JsonLines });
     let setup = desk.setup(1, 3_000);
-    desk.put(Input::SetUp { link: 8, call: name(2), setup });
+    desk.put(Input::SetUp { caller_conn: 8, call: name(2), setup });
     desk.answer(2, 1);
-    order(&mut desk, Order::DrainStart);
+    order(&mut desk, OperatorRequest::DrainStart);
     desk.pass(320);
     assert_eq!(closed(&desk), [8]);
-    desk.put(Input::LinkDown { link: 8 });
+    desk.put(Input::CallerDisconnected { caller_conn: 8 });
     desk.pass(3_350);
     assert!(!closed(&desk).contains(&LINK));
-    desk.end(2, 1, Outcome::Ended, Reason::None);
-    assert!(desk.told(2).contains(&CallerWord::Released { cut: false }));
+    desk.end(2, 1, Outcome::Completed, Reason::Unspecified);
+    assert!(desk.told(2).contains(&CallerMessage::Released { cut: false }));
     desk.pass(80);
     assert!(closed(&desk).contains(&LINK), "well before 4 s it goes too");
 }
@@ -113,24 +115,25 @@
     let mut desk = Desk::new(3);
     desk.call(1, 1, 3_000);
     desk.answer(1, 1);
-    order(&mut desk, Order::DrainStart);
+    order(&mut desk, OperatorRequest::DrainStart);
     desk.pass(400);
-    desk.put(Input::LinkDown { link: LINK });
-    desk.end(1, 1, Outcome::Ended, Reason::None);
+    desk.put(Input::CallerDisconnected { caller_conn: LINK });
+    desk.end(1, 1, Outcome::Completed, Reason::Unspecified);
     desk.pass(15_000);
     desk.seen.clear();
-    desk.put(Input::LinkUp { link: 8, front: Front::Platform });
-    desk.put(Input::Check { link: 8, call: name(99) });
-    desk.put(Input::LinkUp { link: 10, front: Front::Platform });
+    desk.put(Input::CallerConnected { caller_conn: 8, front: Front::JsonLines });
+    desk.put(Input::HealthCheck { caller_conn: 8, call: name(99) });
+    desk.put(Input::CallerConnected { caller_conn: 10, front: Front::JsonLines });
     desk.pass(1_000);
     assert_eq!(desk.told(1), [], "whoever only tests or says nothing does not read it");
-    order(&mut desk, Order::DrainStop);
+    order(&mut desk, OperatorRequest::DrainStop);
     desk.pass(200);
     assert_eq!(desk.told(1), [], "callers are on their way back");
-    desk.put(Input::LinkUp { link: 9, front: Front::Platform });
+    desk.put(Input::CallerConnected { caller_conn: 9, front: Front::JsonLines });
     let setup = desk.setup(1, 3_000);
-    desk.put(Input::SetUp { link: 9, call: name(2), setup });
-    let released = Effect::ToCaller { link: 9, call: name(1), word: CallerWord::Released { cut: false } };
+    desk.put(Input::SetUp { caller_conn: 9, call: name(2), setup });
+    let released =
+        Effect::ToCaller { caller_conn: 9, call: name(1), message: CallerMessage::Released { cut: false } };
     assert!(desk.seen.contains(&released));
 }
 
--- a/tests/legs.rs
+++ b/tests/legs.rs
@@ -5,7 +5,7 @@
 
 use proptest::prelude::RngCore;
 use proptest::test_runner::{RngAlgorithm, TestRng};
-use swiftlb::engine::{CallName, CallerWord, Input, PeerWord};
+use swiftlb::engine::{CallUid, CallerMessage, ExchangeMessage, Input};
 use swiftlb::iax2::frame::{Frame, Full, Kind, iax, read};
 use swiftlb::iax2::leg::{Heard, Leg};
 use swiftlb::iax2::{Endpoint, Iax2Config, Output};
@@ -99,19 +99,24 @@
     let (mut stood, mut died) = (0, 0);
     for seed in 0..60 {
         let mut pair = Pair::new(seed, 25);
-        let call = CallName::from_u64(7);
+        let call = CallUid::from_u64(7);
         pair.act(0, |e, now, out| e.connect(now, 3, address(1), Duration::from_secs(5), out));
-        let connected = |p: &Pair| p.count(0, |i| matches!(i, Input::Connected { .. })) == 1;
+        let connected = |p: &Pair| p.count(0, |i| matches!(i, Input::ExchangeConnected { .. })) == 1;
         assert!(pair.until(connected), "seed {seed}");
-        let (class, key) = ("status".to_owned(), Some("1".to_owned()));
-        let word = PeerWord::SetUp { class, key, left: Duration::from_secs(3), description: None };
+        let (class, called_number) = ("status".to_owned(), Some("1".to_owned()));
+        let word = ExchangeMessage::SetUp {
+            class,
+            called_number,
+            remaining: Duration::from_secs(3),
+            description: None,
+        };
         pair.act(0, |e, now, out| e.to_node(now, 3, call, &word, out));
         pair.until(|p| p.count(1, set_up) + p.count(0, ended) > 0);
         if let Some(Input::SetUp { call: far, .. }) = pair.seen[1].iter().find(|i| set_up(i)).cloned() {
             let description = None;
-            pair.act(1, |e, now, out| e.to_caller(now, far, &CallerWord::Answer { description }, out));
+            pair.act(1, |e, now, out| e.to_caller(now, far, &CallerMessage::Answered { description }, out));
             pair.until(|p| p.count(0, answered) + p.count(0, ended) > 0);
-            pair.act(1, |e, now, out| e.to_caller(now, far, &CallerWord::Released { cut: false }, out));
+            pair.act(1, |e, now, out| e.to_caller(now, far, &CallerMessage::Released { cut: false }, out));
         }
         pair.until(|p| p.count(0, ended) > 0);
         // Whoever ended it, both ends forget it, and no late copy brings anything back.
@@ -119,7 +124,7 @@
         assert!(pair.until(quiet), "seed {seed}: legs are left");
         assert_eq!((pair.count(0, ended), pair.count(1, set_up)), (1, 1), "seed {seed}");
         assert!(pair.count(0, answered) <= 1, "seed {seed}");
-        let normal = |i: &Input| matches!(i, Input::Ended { outcome: Outcome::Ended, .. });
+        let normal = |i: &Input| matches!(i, Input::Ended { outcome: Outcome::Completed, .. });
         if pair.count(0, normal) == 1 { stood += 1 } else { died += 1 }
     }
     assert!(stood >= 40, "{stood} of 60 calls reached their end, {died} legs died");
@@ -129,19 +134,19 @@
 fn a_set_up_that_is_given_up_unacknowledged_is_not_repeated() {
     let mut pair = Pair::new(1, 0);
     pair.act(0, |e, now, out| e.connect(now, 3, address(1), Duration::from_secs(5), out));
-    assert!(pair.until(|p| p.count(0, |i| matches!(i, Input::Connected { .. })) == 1));
+    assert!(pair.until(|p| p.count(0, |i| matches!(i, Input::ExchangeConnected { .. })) == 1));
     // From here on everything is lost.
     pair.loss = 100;
     pair.wire.clear();
-    let call = CallName::from_u64(7);
-    let word = PeerWord::SetUp {
+    let call = CallUid::from_u64(7);
+    let word = ExchangeMessage::SetUp {
         class: "status".into(),
-        key: None,
-        left: Duration::from_secs(3),
+        called_number: None,
+        remaining: Duration::from_secs(3),
         description: None,
     };
     pair.act(0, |e, now, out| e.to_node(now, 3, call, &word, out));
-    pair.act(0, |e, now, out| e.to_node(now, 3, call, &PeerWord::GiveUp, out));
+    pair.act(0, |e, now, out| e.to_node(now, 3, call, &ExchangeMessage::Cancel, out));
     // The link heals: only the hang-up comes through, and the other end never saw a call.
     pair.loss = 0;
     assert!(pair.until(|p| p.wire.is_empty() && p.ends.iter().all(|e| e.legs() == 0)));
@@ -233,7 +238,7 @@
         Input::SetUp { call, .. } => *call,
         other => panic!("{other:?}"),
     };
-    pair.act(1, |e, now, out| e.to_caller(now, call, &CallerWord::Failed { busy: false }, out));
+    pair.act(1, |e, now, out| e.to_caller(now, call, &CallerMessage::Failed { busy: false }, out));
     let last = Full { dest: number, kind: Kind::Text, iseq: 1, ..frame(2, 0, vec![]) };
     pair.act(1, |e, now, out| e.receive(now, address(0), &last.write(), out));
     assert_eq!(pair.ends[1].legs(), 0);
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -43,9 +43,9 @@
     for (at, line) in load.setups(&plan) {
         let read = read_caller(line.as_bytes(), std::time::UNIX_EPOCH);
         let Ok(FromCaller::SetUp(call, setup)) = read else { panic!("{line}") };
-        assert_eq!((setup.class.as_str(), setup.left), ("unit-status", Some(left)));
+        assert_eq!((setup.class.as_str(), setup.remaining), ("unit-status", Some(left)));
         assert!(setup.dest < 3);
-        seen.push((at.as_millis(), setup.key, setup.dest, call));
+        seen.push((at.as_millis(), setup.called_number, setup.dest, call));
     }
     assert_eq!(seen.iter().map(|s| s.0).collect::<Vec<_>>(), [0, 900, 2_500]);
     assert_eq!((&seen[0].1, seen[0].2), (&seen[2].1, seen[2].2), "one path is one number");
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::{Host, ROUNDS};
-use swiftlb::interface::{Action, Event, ExchangeId, ListKind, Listed, Outcome, Readiness, Reason};
+use swiftlb::interface::{
+    Action, Event, ExchangeId, ListUpdateKind, ListedExchange, Outcome, Readiness, Reason,
+};
 
 /// Timer tag of the upkeep round, as the first event starts it.
 const UPKEEP: u64 = 1 << 32;
@@ -42,12 +44,12 @@
 /// Two where far legs are unheard; more where peers tell, and then the freest of those.
 #[test]
 fn tandems_are_sampled_at_random_and_more_of_them_where_peers_tell() {
-    let picked = |may_tell: bool| -> std::collections::BTreeSet<u32> {
+    let picked = |may_message_peers: bool| -> std::collections::BTreeSet<u32> {
         (0..60)
             .filter_map(|seed| {
                 let mut host = Host::mesh(12, seed);
                 let mut set = host.settings.clone();
-                set.may_tell = may_tell;
+                set.may_message_peers = may_message_peers;
                 host.restart_with(set, seed, 12);
                 host.free(1, 0.0, 30.0);
                 (2..12).for_each(|n| host.free(n, 10.0 + f64::from(n), 30.0));
@@ -96,7 +98,7 @@
         host.free(2, 30.0, 30.0);
         host.free(3, 20.0, 30.0);
         assert_eq!(host.call(1, 0, 1).sent_to(), Some(2));
-        assert_eq!(host.outcome(1, 0, 2, Outcome::Full, Reason::TurnedBack).sent_to(), Some(3));
+        assert_eq!(host.outcome(1, 0, 2, Outcome::Congested, Reason::CrankBack).sent_to(), Some(3));
         host.stands(1, 3, 40.0);
         host.pass(30_000.0);
         assert_eq!(host.call(2, 0, 1).sent_to(), Some(3), "no leg from 2, as far as seen");
@@ -114,7 +116,7 @@
     (1..4).for_each(|n| host.free(n, 0.0, 30.0));
     let actions = host.call(1, 0, 1).actions;
     let [Action::Refuse { call: 1, retry_after_ms }] = actions[..] else { panic!("{actions:?}") };
-    let aim = host.settings.classes[0].aim_ms;
+    let aim = host.settings.classes[0].target_setup_ms;
     assert!(retry_after_ms > 0.0 && 2.0 * retry_after_ms < aim, "two redials fit into the wanted time");
 }
 
@@ -152,7 +154,7 @@
     host.stands(1, 2, 40.0);
     assert_eq!(host.call(2, 0, 1).sent_to(), Some(2));
     assert_eq!(
-        host.outcome(2, 0, 2, Outcome::Full, Reason::TurnedBack).sent_to(),
+        host.outcome(2, 0, 2, Outcome::Congested, Reason::CrankBack).sent_to(),
         Some(3),
         "the other tandem"
     );
@@ -173,15 +175,15 @@
     for seed in 0..40 {
         let mut host = Host::mesh(14, seed);
         let mut set = host.settings.clone();
-        set.may_tell = false;
+        set.may_message_peers = false;
         host.restart_with(set, seed, 14);
         host.free(1, 0.0, 0.0);
         (2..14).for_each(|n| host.free(n, 9.0, if n < 6 { 40.0 } else { 9.0 }));
         let first = host.call(1, 0, 1).sent_to().expect("there is room");
         assert!(first < 6, "large groups first, not {first}");
-        let next = host.outcome(1, 0, first, Outcome::Full, Reason::TurnedBack).sent_to().unwrap();
-        host.outcome(1, 1, next, Outcome::Full, Reason::TurnedBack);
-        host.event(Event::Left { call: 1 });
+        let next = host.outcome(1, 0, first, Outcome::Congested, Reason::CrankBack).sent_to().unwrap();
+        host.outcome(1, 1, next, Outcome::Congested, Reason::CrankBack);
+        host.event(Event::Abandoned { call: 1 });
         host.free(13, 0.0, 0.0);
         picked.extend(host.call(2, 0, 13).sent_to());
         assert!(!picked.contains(&first) || first != next);
@@ -208,9 +210,9 @@
     let mut told = Vec::new();
     for _ in 0..10 {
         host.pass(1_000.0);
-        let actions = host.event(Event::Timer { tag: UPKEEP }).actions;
+        let actions = host.event(Event::TimerExpired { tag: UPKEEP }).actions;
         told.extend(actions.into_iter().filter_map(|action| match action {
-            Action::Tell { to: None, bytes } => Some(bytes),
+            Action::SendPeerMessage { to: None, bytes } => Some(bytes),
             _ => None,
         }));
     }
@@ -235,8 +237,8 @@
     assert_eq!(host.call(2, 0, 1).sent_to(), Some(3), "the reserve is taken off once on each leg");
     host.hear(3, &message(3, 1, &[20, 2, 20, 255]));
     assert_eq!(host.call(3, 0, 1).sent_to(), None, "2 circuits are the reserve");
-    host.event(Event::Left { call: 1 });
-    host.event(Event::Left { call: 2 });
+    host.event(Event::Abandoned { call: 1 });
+    host.event(Event::Abandoned { call: 2 });
     host.pass(10_100.0);
     assert_eq!(host.call(4, 0, 1).sent_to(), Some(2), "old news is no news");
 }
@@ -271,7 +273,7 @@
     for bad in [&good[..7], &good[..6], &[], &[2], &other_version, &message(9, 1, &[1, 255]), &[255; 256]] {
         host.hear(2, bad);
         assert_eq!(host.call(u32::MAX, 0, 1).sent_to(), Some(2), "{bad:?}");
-        host.event(Event::Left { call: u32::MAX });
+        host.event(Event::Abandoned { call: u32::MAX });
         host.free(2, 30.0, 30.0);
     }
     host.hear(2, &message(0, 1, &[9, 9, 9]));
@@ -289,11 +291,17 @@
     let mut host = Host::mesh(4, 1);
     let ids = |n: u16| ExchangeId { address: [10, 1, n.to_le_bytes()[0], n.to_le_bytes()[1]], port: 1 };
     let entries = (4..600)
-        .map(|n| Listed { id: ids(n), number: n.into(), zone: 0, born_ms: 0.0, readiness: Readiness::Ready })
+        .map(|n| ListedExchange {
+            id: ids(n),
+            number: n.into(),
+            zone: 0,
+            started_ms: 0.0,
+            readiness: Readiness::Ready,
+        })
         .collect();
-    host.event(Event::List { kind: ListKind::Changes, entries });
+    host.event(Event::List { kind: ListUpdateKind::Changes, entries });
     let report = Some(vec![17.0, 20.0, -1.0]);
-    host.event(Event::Probed { exchange: ids(598), answered: true, took_ms: 0.0, report });
+    host.event(Event::ProbeResult { exchange: ids(598), answered: true, elapsed_ms: 0.0, report });
     let told = told_in_ten_seconds(&mut host);
     assert!(told.iter().all(|bytes| bytes.len() <= 256));
     let first_said = |bytes: &Vec<u8>| usize::from(u16::from_le_bytes([bytes[5], bytes[6]]));
@@ -363,7 +371,7 @@
     let mut host = Host::mesh(3, 1);
     (1..3).for_each(|n| host.free(n, 30.0, 30.0));
     assert_eq!(host.call_number(1, 1, 77).sent_to(), Some(1));
-    let busy = host.outcome(1, 0, 1, Outcome::Busy, Reason::LinesBusy);
+    let busy = host.outcome(1, 0, 1, Outcome::Busy, Reason::UserBusy);
     let longest = host.settings.max_retry_after_ms;
     assert!(matches!(busy.actions[..], [Action::Fail { .. } | Action::Refuse { .. }]));
     let gapped = host.call_number(2, 1, 77).actions;
@@ -461,14 +469,17 @@
 fn where_the_list_must_be_asked_for_a_broken_subscription_is_asked_for_again() {
     let mut host = Host::mesh(3, 1);
     let mut set = host.settings.clone();
-    set.must_ask = true;
+    set.must_fetch_list = true;
     let first = host.restart(set, 1);
     assert!(first.actions.contains(&Action::Subscribe));
     host.pass(1_000.0);
-    assert!(!host.event(Event::Timer { tag: UPKEEP }).actions.contains(&Action::Subscribe), "once is enough");
-    host.event(Event::List { kind: ListKind::Failed, entries: vec![] });
+    assert!(
+        !host.event(Event::TimerExpired { tag: UPKEEP }).actions.contains(&Action::Subscribe),
+        "once is enough"
+    );
+    host.event(Event::List { kind: ListUpdateKind::FetchFailed, entries: vec![] });
     host.pass(1_000.0);
-    assert!(host.event(Event::Timer { tag: UPKEEP }).actions.contains(&Action::Subscribe));
+    assert!(host.event(Event::TimerExpired { tag: UPKEEP }).actions.contains(&Action::Subscribe));
 }
 
 #[test]
@@ -481,7 +492,7 @@
     host.stands(1, 1, 900.0);
     for call in [2, 3] {
         // No time passes until a connection is refused, whatever the processor behind it does.
-        host.outcome(call, 0, 1, Outcome::NoConnection, Reason::None);
+        host.outcome(call, 0, 1, Outcome::NoConnection, Reason::Unspecified);
     }
     assert_eq!(host.call(4, 0, 1).sent_to(), None);
 }
@@ -492,7 +503,7 @@
     host.free(1, 2.0, 20.0);
     for call in 1..=5 {
         assert_eq!(host.call(call, 0, 1).sent_to(), Some(1));
-        host.outcome(call, 0, 1, Outcome::NoConnection, Reason::None);
+        host.outcome(call, 0, 1, Outcome::NoConnection, Reason::Unspecified);
     }
 }
 
@@ -525,14 +536,14 @@
     assert_eq!(host.call(4, 0, 1).sent_to(), Some(1), "the first one's answer got lost");
     host.stands(4, 1, 40.0);
     host.pass(2_000.0);
-    host.event(Event::Outcome {
+    host.event(Event::AttemptEnded {
         call: 1,
         attempt: 0,
         exchange: common::place(1),
         outcome: Outcome::TimedOut,
-        reason: Reason::None,
-        took_ms: 2_920.0,
-        closed: true,
+        reason: Reason::Unspecified,
+        elapsed_ms: 2_920.0,
+        call_closed: true,
         report: None,
     });
     assert_eq!(host.call(5, 0, 1).sent_to(), Some(1), "nor does its time-out tell of a wait");
@@ -566,8 +577,8 @@
     let mut host = Host::mesh(2, 1);
     host.free(1, 30.0, 30.0);
     assert_eq!(host.call(1, 0, 1).sent_to(), Some(1));
-    assert_eq!(host.outcome(1, 0, 1, Outcome::Busy, Reason::None).sent_to(), Some(1));
-    let busy = host.outcome(1, 1, 1, Outcome::Busy, Reason::LinesBusy);
+    assert_eq!(host.outcome(1, 0, 1, Outcome::Busy, Reason::Unspecified).sent_to(), Some(1));
+    let busy = host.outcome(1, 1, 1, Outcome::Busy, Reason::UserBusy);
     assert!(matches!(busy.actions[..], [Action::Fail { call: 1 }]), "{busy:?}");
 }
 
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -12,7 +12,7 @@
 use peers::{Exchange, Lines, Phone, Switch, hear, launch, timed};
 use proptest::prelude::*;
 use swiftlb::iax2::frame::{Kind, iax};
-use swiftlb::ops::{self, CallError, LONGEST_HEAD, Order};
+use swiftlb::ops::{self, MAX_HEAD_BYTES, OperatorRequest, RequestError};
 
 const CALL: &str = "9b1f03aa5c7e2d41";
 
@@ -39,7 +39,7 @@
     stream.write_all(b"\x01\x02\r\n\r\n").expect("it reads");
     assert_eq!(hear(stream).0, 400);
     let mut stream = TcpStream::connect(switch.door).expect("it listens");
-    stream.write_all(format!("GET /{}", "x".repeat(LONGEST_HEAD)).as_bytes()).expect("it reads");
+    stream.write_all(format!("GET /{}", "x".repeat(MAX_HEAD_BYTES)).as_bytes()).expect("it reads");
     assert_eq!(hear(stream).0, 431);
     // A head in pieces, with a body behind it that nobody waits for.
     let mut stream = TcpStream::connect(switch.door).expect("it listens");
@@ -123,15 +123,15 @@
     ) {
         let whole = b"PUT /ops/drain/start HTTP/1.1\r\nHost: a\r\n\r\n";
         let cut = cut.min(whole.len());
-        let expected = if cut == whole.len() { Some(Order::DrainStart) } else { None };
-        prop_assert_eq!(ops::read(&whole[..cut], false), Ok(expected));
+        let expected = if cut == whole.len() { Some(OperatorRequest::DrainStart) } else { None };
+        prop_assert_eq!(ops::parse_request(&whole[..cut], false), Ok(expected));
         let mut spoilt = whole.to_vec();
         spoilt.splice(at..at, noise.iter().copied());
         // Whatever it says, it says so without a panic, and never that it is another call.
-        if let Ok(Some(order)) = ops::read(&spoilt, false) {
-            prop_assert_eq!(order, Order::DrainStart);
+        if let Ok(Some(order)) = ops::parse_request(&spoilt, false) {
+            prop_assert_eq!(order, OperatorRequest::DrainStart);
         }
-        prop_assert_ne!(ops::read(&noise, false), Ok(Some(Order::DrainStart)));
-        prop_assert_eq!(ops::read(&vec![b'a'; LONGEST_HEAD], false), Err(CallError::TooLong));
+        prop_assert_ne!(ops::parse_request(&noise, false), Ok(Some(OperatorRequest::DrainStart)));
+        prop_assert_eq!(ops::parse_request(&vec![b'a'; MAX_HEAD_BYTES], false), Err(RequestError::TooLong));
     }
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Cases, RngAlgorithm, TestRng, TestRunner};
 use swiftlb::config::{Config, parse_json};
-use swiftlb::engine::{CallName, CallerWord, Entry, Input, PeerWord, TwinWord};
+use swiftlb::engine::{CallUid, CallerMessage, ExchangeMessage, Input, ListEntry, SiblingMessage};
 use swiftlb::iax2::element::{Elements, advice, cause_of, end_of};
 use swiftlb::iax2::frame::{Frame, FrameError, Full, Kind, Mini, iax, read};
 use swiftlb::iax2::{Endpoint, Iax2Config, Output};
@@ -29,8 +29,8 @@
     TestRunner::new_with_rng(Cases { cases: 400, failure_persistence: None, ..Cases::default() }, rng)
 }
 
-fn name() -> CallName {
-    CallName::parse(CALL).expect("16 digits")
+fn name() -> CallUid {
+    CallUid::parse(CALL).expect("16 digits")
 }
 
 fn report() -> Vec<String> {
@@ -105,8 +105,8 @@
     let now = SystemTime::now();
     let Ok(FromCaller::SetUp(call, setup)) = read_caller(launch().as_bytes(), now) else { panic!() };
     assert_eq!((call, setup.class.as_str(), setup.dest), (name(), "voice", 2));
-    assert_eq!((setup.left, setup.received), (Some(Duration::from_millis(1_500)), now));
-    assert_eq!((setup.transit_from, setup.advised, setup.was_cut), (Some(3), None, true));
+    assert_eq!((setup.remaining, setup.received), (Some(Duration::from_millis(1_500)), now));
+    assert_eq!((setup.transit_from, setup.advised_route, setup.was_cut), (Some(3), None, true));
     assert_eq!(setup.description.as_deref(), Some("a\r\n\u{fc}"));
     for (from, to) in
         [("dest:2", "dest:x"), ("\"1500\"", "\"soon\""), ("\"voice\"", "[]"), ("launch", "l\nunch")]
@@ -128,16 +128,16 @@
         }
     };
     let note = |note: &str| format!(r#""note":"{note}""#);
-    assert_eq!(stop(16, ""), (Outcome::Ended, Reason::None));
-    assert_eq!(stop(41, ""), (Outcome::Reset, Reason::None));
-    assert_eq!(stop(47, ""), (Outcome::Busy, Reason::None));
-    assert_eq!(stop(17, &note("user_busy")), (Outcome::Busy, Reason::LinesBusy));
-    assert_eq!(stop(102, &note("group_full")), (Outcome::Moot, Reason::NoCircuit));
-    assert_eq!(stop(34, &note("tandem_refused")), (Outcome::Full, Reason::TurnedBack));
-    assert_eq!(stop(34, &note("destination_full")), (Outcome::Full, Reason::FullBeyond));
+    assert_eq!(stop(16, ""), (Outcome::Completed, Reason::Unspecified));
+    assert_eq!(stop(41, ""), (Outcome::Reset, Reason::Unspecified));
+    assert_eq!(stop(47, ""), (Outcome::Busy, Reason::Unspecified));
+    assert_eq!(stop(17, &note("user_busy")), (Outcome::Busy, Reason::UserBusy));
+    assert_eq!(stop(102, &note("group_full")), (Outcome::NotSent, Reason::NoCircuit));
+    assert_eq!(stop(34, &note("tandem_refused")), (Outcome::Congested, Reason::CrankBack));
+    assert_eq!(stop(34, &note("destination_full")), (Outcome::Congested, Reason::DestinationFull));
     let full = r#""note":"processor_full","waited":"2400""#;
-    assert_eq!(stop(34, full), (Outcome::Full, Reason::ProcessorFull(2_400.0)));
-    assert_eq!(stop(102, &note("processor_full")), (Outcome::Moot, Reason::ProcessorFull(0.0)));
+    assert_eq!(stop(34, full), (Outcome::Congested, Reason::ProcessorFull(2_400.0)));
+    assert_eq!(stop(102, &note("processor_full")), (Outcome::NotSent, Reason::ProcessorFull(0.0)));
 }
 
 #[test]
@@ -157,19 +157,24 @@
 #[test]
 fn lines_are_written_as_the_platform_reads_them() {
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
-    let refused = CallerWord::Refused { wait: Duration::from_millis(300) };
+    let refused = CallerMessage::Refused { retry_after: Duration::from_millis(300) };
     assert_eq!(
         text(write_caller(name(), &refused)),
         format!("{{\"kind\":\"stop\",\"uid\":\"{CALL}\",\"meta\":{{\"wait\":\"300\"}},\"reason\":34}}\n")
     );
     // Failures are never written with a cause that stands for a refusal.
     for busy in [true, false] {
-        let line = text(write_caller(name(), &CallerWord::Failed { busy }));
+        let line = text(write_caller(name(), &CallerMessage::Failed { busy }));
         assert!(["34}", "42}", "102}"].iter().all(|cause| !line.contains(cause)), "{line}");
     }
     let description = Some("a\r\n\"\u{fc}\u{1f600}".into());
-    let left = Duration::from_millis(1_500);
-    let setup = PeerWord::SetUp { class: "voice".into(), key: Some("7F3a".into()), left, description };
+    let remaining = Duration::from_millis(1_500);
+    let setup = ExchangeMessage::SetUp {
+        class: "voice".into(),
+        called_number: Some("7F3a".into()),
+        remaining,
+        description,
+    };
     let line = text(write_exchange(name(), &setup));
     assert!(line.ends_with("}\n") && line.matches('\n').count() == 1, "{line}");
     assert!(line.contains(r#""class":"voice","key":"7F3a","left":"1500""#), "{line}");
@@ -198,7 +203,7 @@
     assert_eq!((serial, list.len()), (1, 1));
     assert_eq!((&*list[0].name, list[0].number, list[0].zone), ("s-0fea4956", 1, 1));
     assert_eq!(list[0].address, "127.8.1.1:5070".parse().expect("an address"));
-    assert_eq!((list[0].born, list[0].readiness), (None, Readiness::Ready));
+    assert_eq!((list[0].started_at, list[0].readiness), (None, Readiness::Ready));
     assert!(dns::read_answer(&[0x1235], &bytes, &zones).is_err(), "an answer to another query");
     for end in 0..bytes.len() {
         assert!(dns::read_answer(&[0x1234], &bytes[..end], &zones).is_err(), "{end}");
@@ -254,13 +259,19 @@
 
 #[test]
 fn causes_and_advice_mean_the_same_in_both_directions() {
-    let refused = cause_of(&CallerWord::Refused { wait: Duration::from_millis(700) });
-    assert_eq!(end_of(&refused), (Outcome::Full, Reason::ProcessorFull(700.0)));
-    assert_eq!(end_of(&cause_of(&CallerWord::Failed { busy: true })), (Outcome::Busy, Reason::LinesBusy));
-    assert_eq!(end_of(&cause_of(&CallerWord::Released { cut: true })), (Outcome::Reset, Reason::None));
-    assert_eq!(end_of(&cause_of(&CallerWord::Released { cut: false })), (Outcome::Ended, Reason::None));
-    assert_eq!(end_of(&Elements::of_cause(34, "")), (Outcome::Full, Reason::NoCircuit));
-    assert_eq!(end_of(&Elements::of_cause(102, "")), (Outcome::Moot, Reason::None));
+    let refused = cause_of(&CallerMessage::Refused { retry_after: Duration::from_millis(700) });
+    assert_eq!(end_of(&refused), (Outcome::Congested, Reason::ProcessorFull(700.0)));
+    assert_eq!(end_of(&cause_of(&CallerMessage::Failed { busy: true })), (Outcome::Busy, Reason::UserBusy));
+    assert_eq!(
+        end_of(&cause_of(&CallerMessage::Released { cut: true })),
+        (Outcome::Reset, Reason::Unspecified)
+    );
+    assert_eq!(
+        end_of(&cause_of(&CallerMessage::Released { cut: false })),
+        (Outcome::Completed, Reason::Unspecified)
+    );
+    assert_eq!(end_of(&Elements::of_cause(34, "")), (Outcome::Congested, Reason::NoCircuit));
+    assert_eq!(end_of(&Elements::of_cause(102, "")), (Outcome::NotSent, Reason::Unspecified));
     assert_eq!(advice("retry after 99999999999999999999999 ms"), None);
 }
 
@@ -309,7 +320,7 @@
         Input::SetUp { call, .. } => *call,
         _ => return,
     };
-    endpoint.to_caller(UNIX_EPOCH, call, &CallerWord::Failed { busy: false }, &mut out);
+    endpoint.to_caller(UNIX_EPOCH, call, &CallerMessage::Failed { busy: false }, &mut out);
     let mut now = UNIX_EPOCH;
     while let Some(at) = endpoint.next_wake() {
         assert!(at <= UNIX_EPOCH + Duration::from_secs(8), "a dead peer is kept for too long");
@@ -322,23 +333,29 @@
 #[test]
 fn words_between_processes_come_back_as_written_and_cut_or_garbled_ones_are_errors() {
     let values = vec(prop_oneof![-1e300..1e300, Just(0.0), -3.0..3.0], 0..20);
-    let (born, call) = (proptest::option::of(0..1_u64 << 62), any::<u64>().prop_map(CallName::from_u64));
-    let input = (values, born, call, any::<u32>(), any::<bool>(), 0_usize..400, vec(any::<u8>(), 0..60));
+    let (started_at, call) = (proptest::option::of(0..1_u64 << 62), any::<u64>().prop_map(CallUid::from_u64));
+    let input =
+        (values, started_at, call, any::<u32>(), any::<bool>(), 0_usize..400, vec(any::<u8>(), 0..60));
     runner(11)
-        .run(&input, |(values, born, call, number, flag, cut, garbage)| {
-            let born = born.map(|nanos| UNIX_EPOCH + Duration::from_nanos(nanos));
+        .run(&input, |(values, started_at, call, number, flag, cut, garbage)| {
+            let started_at = started_at.map(|nanos| UNIX_EPOCH + Duration::from_nanos(nanos));
             let readiness = if flag { Readiness::Draining } else { Readiness::Ready };
             let address = "10.1.0.9:5070".parse().expect("an address");
-            let entry = Entry { name: "s-1".into(), address, number, zone: number as u16, born, readiness };
+            let entry =
+                ListEntry { name: "s-1".into(), address, number, zone: number as u16, started_at, readiness };
             for word in [
-                TwinWord::Hello,
-                TwinWord::Serving,
-                TwinWord::Exchange(entry),
-                TwinWord::Belief { topic: "rate".to_owned(), of: flag.then(|| "s-1".into()), values },
-                TwinWord::Whole { serial: number },
-                TwinWord::HangUp { call, cause: number as u8 },
-                TwinWord::Ended { call, cut: flag },
-                TwinWord::Release { call, cut: flag },
+                SiblingMessage::HandoverRequest,
+                SiblingMessage::Serving,
+                SiblingMessage::Exchange(entry),
+                SiblingMessage::Learned {
+                    topic: "rate".to_owned(),
+                    exchange: flag.then(|| "s-1".into()),
+                    values,
+                },
+                SiblingMessage::HandoverComplete { serial: number },
+                SiblingMessage::HangUp { call, cause: number as u8 },
+                SiblingMessage::Ended { call, cut: flag },
+                SiblingMessage::Release { call, cut: flag },
             ] {
                 let mut line = handover::write(&word);
                 prop_assert_eq!(line.pop(), Some(b'\n'));
