--- a/tests/records.rs
+++ b/tests/records.rs
@@ -15,12 +15,12 @@
 use desk::{Desk, LINK, entry, name};
 use draw::Draw;
 use swiftlb::edge::{Edge, EdgeError};
-use swiftlb::engine::{CallerWord, Effect, Input};
+use swiftlb::engine::{CallerMessage, Effect, Input};
 use swiftlb::interface::{Outcome, Readiness, Reason};
-use swiftlb::ops::{self, Order};
+use swiftlb::ops::{self, OperatorRequest};
 use swiftlb_record::{
-    Archive, AttemptOutcome, Call, Cause, Damage, Event, FailedWhy, FileReader, Item, Listing, Record,
-    RefusedWhy, ReleasedBy, WayChange,
+    Archive, AttemptOutcome, AttemptReason, CallUid, ConnectionChange, Damage, Event, FailureReason,
+    FileReader, Item, ListedReadiness, Record, RefusalReason, ReleasedBy,
 };
 use tinyjson::JsonValue;
 
@@ -42,7 +42,7 @@
 }
 
 fn of_call(desk: &Desk, call: u64) -> Vec<Event> {
-    events(desk).into_iter().filter(|event| event.call() == Some(Call(call))).collect()
+    events(desk).into_iter().filter(|event| event.call() == Some(CallUid(call))).collect()
 }
 
 #[test]
@@ -58,9 +58,11 @@
 fn a_reader_is_told_first_what_it_has_to_know() {
     let desk = recording(3);
     let first = events(&desk);
-    assert!(matches!(&first[0], Event::Started { home: Some(0), inherited: false, .. }), "{first:?}");
+    assert!(matches!(&first[0], Event::Started { home: Some(0), is_replacement: false, .. }), "{first:?}");
     assert_eq!(first[1], Event::Classes(vec!["status".to_owned(), "lookup".to_owned()]));
-    let listed = |event: &Event| matches!(event, Event::Exchange { listing: Listing::Ready, born_us: 0, .. });
+    let listed = |event: &Event| {
+        matches!(event, Event::Exchange { readiness: ListedReadiness::Ready, started_us: 0, .. })
+    };
     assert_eq!(first.iter().filter(|event| listed(event)).count(), 3);
 }
 
@@ -69,25 +71,36 @@
     let mut desk = recording(3);
     desk.call(1, 1, 2_000);
     desk.pass(40);
-    desk.end(1, 1, Outcome::Full, Reason::ProcessorFull(300.0));
+    desk.end(1, 1, Outcome::Congested, Reason::ProcessorFull(300.0));
     desk.pass(10);
     let life = of_call(&desk, 1);
     assert!(
-        matches!(life[0], Event::SetUp { dest: 1, class: 0, left_ms: 2_000, transit_from: None, .. }),
+        matches!(life[0], Event::SetUp { dest: 1, class: 0, remaining_ms: 2_000, transit_from: None, .. }),
         "{life:?}"
     );
-    assert_eq!(life[1], Event::Attempt { call: Call(1), attempt: 1, exchange: 1, waits: false });
-    let (outcome, cause) = (AttemptOutcome::Full, Cause::ProcessorFull(300));
-    let end = Event::AttemptEnd { call: Call(1), attempt: 1, exchange: 1, outcome, cause, took_us: 40_000 };
+    assert_eq!(
+        life[1],
+        Event::Attempt { call: CallUid(1), attempt: 1, exchange: 1, awaits_connection: false }
+    );
+    let (outcome, reason) = (AttemptOutcome::Congested, AttemptReason::ProcessorFull(300));
+    let end = Event::AttemptEnded {
+        call: CallUid(1),
+        attempt: 1,
+        exchange: 1,
+        outcome,
+        reason,
+        elapsed_us: 40_000,
+    };
     assert_eq!(life[2], end);
     desk.call(2, 2, 2_000);
     desk.pass(50);
     desk.answer(2, 2);
     desk.pass(1_000);
-    desk.put(Input::HangUp { link: LINK, call: name(2), cause: 16 });
+    desk.put(Input::HangUp { caller_conn: LINK, call: name(2), cause: 16 });
     let life = of_call(&desk, 2);
-    assert_eq!(life[2], Event::Answer { call: Call(2), exchange: 2, took_us: 50_000 });
-    let released = Event::Released { call: Call(2), exchange: Some(2), by: ReleasedBy::Caller, cut: false };
+    assert_eq!(life[2], Event::Answered { call: CallUid(2), exchange: 2, elapsed_us: 50_000 });
+    let released =
+        Event::Released { call: CallUid(2), exchange: Some(2), by: ReleasedBy::Caller, cut: false };
     assert_eq!(life[3..], [released]);
 }
 
@@ -97,26 +110,28 @@
     // No answer comes: the attempt times out, and the call is given up for that.
     desk.call(1, 1, 1_000);
     desk.pass(3_000);
-    let why = FailedWhy::After(AttemptOutcome::TimedOut, Cause::None);
-    assert_eq!(of_call(&desk, 1).last(), Some(&Event::Failed { call: Call(1), why }));
+    let reason = FailureReason::AfterAttempt(AttemptOutcome::TimedOut, AttemptReason::Unspecified);
+    assert_eq!(of_call(&desk, 1).last(), Some(&Event::Failed { call: CallUid(1), reason }));
     // Its caller stops waiting.
     desk.call(2, 1, 2_000);
-    desk.put(Input::HangUp { link: LINK, call: name(2), cause: 16 });
-    assert_eq!(of_call(&desk, 2).last(), Some(&Event::GivenUp { call: Call(2) }));
+    desk.put(Input::HangUp { caller_conn: LINK, call: name(2), cause: 16 });
+    assert_eq!(of_call(&desk, 2).last(), Some(&Event::Abandoned { call: CallUid(2) }));
     // It stood, and its exchange is gone from the list.
     desk.call(3, 2, 2_000);
     desk.answer(3, 2);
     desk.put(Input::List(vec![entry(0, Readiness::Ready), entry(1, Readiness::Draining)]));
     desk.pass(1_000);
-    let cut = Event::Released { call: Call(3), exchange: Some(2), by: ReleasedBy::Loss, cut: true };
+    let cut =
+        Event::Released { call: CallUid(3), exchange: Some(2), by: ReleasedBy::ExchangeLost, cut: true };
     assert_eq!(of_call(&desk, 3).last(), Some(&cut));
     let all = events(&desk);
-    let listing = |exchange, listing| {
+    let listing = |exchange, readiness| {
         let name = format!("s-{exchange}");
-        Event::Exchange { exchange, name, zone: 0, listing, born_us: 0 }
+        Event::Exchange { exchange, name, zone: 0, readiness, started_us: 0 }
     };
     assert!(
-        all.contains(&listing(2, Listing::Gone)) && all.contains(&listing(1, Listing::Draining)),
+        all.contains(&listing(2, ListedReadiness::Removed))
+            && all.contains(&listing(1, ListedReadiness::Draining)),
         "{all:?}"
     );
     // A call to an exchange that nobody lists has no route.
@@ -124,7 +139,7 @@
     desk.pass(100);
     let last = of_call(&desk, 4).last().cloned();
     assert!(
-        matches!(last, Some(Event::Refused { why: RefusedWhy::Shed | RefusedWhy::NoCircuit, .. })),
+        matches!(last, Some(Event::Refused { reason: RefusalReason::Shed | RefusalReason::NoCircuit, .. })),
         "{last:?}"
     );
 }
@@ -132,30 +147,33 @@
 #[test]
 fn groups_ways_drains_and_beliefs_are_told_as_they_change() {
     let mut desk = recording(3);
-    let conn = desk.way(1);
+    let exchange_conn = desk.way(1);
     for free in [20.0, 20.0, 19.0] {
-        desk.put(Input::GroupState { conn, report: vec![free, 30.0] });
+        desk.put(Input::GroupState { exchange_conn, report: vec![free, 30.0] });
     }
     let all = events(&desk);
     let groups: Vec<&Event> = all.iter().filter(|event| matches!(event, Event::Group { .. })).collect();
     let group = |free| Event::Group { exchange: 1, free, total: 30 };
     assert_eq!(groups, [&group(20), &group(19)], "what has not changed is not told again");
-    desk.put(Input::ConnectionLost { conn });
+    desk.put(Input::ExchangeDisconnected { exchange_conn });
     desk.pass(400);
     let again = desk.way(1);
-    assert_ne!(again, conn);
-    desk.put(Input::ConnectFailed { conn: again, refused: true });
-    desk.put(Input::Operator { ticket: 1, order: Order::DrainStart });
-    desk.put(Input::Operator { ticket: 2, order: Order::DrainStart });
-    desk.put(Input::Operator { ticket: 3, order: Order::DrainStop });
+    assert_ne!(again, exchange_conn);
+    desk.put(Input::ExchangeConnectFailed { exchange_conn: again, refused: true });
+    desk.put(Input::OperatorRequest { request_id: 1, request: OperatorRequest::DrainStart });
+    desk.put(Input::OperatorRequest { request_id: 2, request: OperatorRequest::DrainStart });
+    desk.put(Input::OperatorRequest { request_id: 3, request: OperatorRequest::DrainStop });
     desk.pass(1_000);
     let all = events(&desk);
-    let way = |change| Event::Way { exchange: 1, change };
+    let way = |change| Event::ExchangeConnection { exchange: 1, change };
     let told = |event: &Event| all.iter().filter(|known| *known == event).count();
-    assert_eq!((told(&way(WayChange::Lost)), told(&way(WayChange::Refused))), (1, 1));
+    assert_eq!((told(&way(ConnectionChange::Lost)), told(&way(ConnectionChange::Refused))), (1, 1));
     let drains = all.iter().filter(|event| matches!(event, Event::Drain { .. })).count();
     assert_eq!(drains, 2, "an order repeated is none");
-    assert!(all.iter().any(|event| matches!(event, Event::Delay { exchange: 2, out: 0, .. })), "{all:?}");
+    assert!(
+        all.iter().any(|event| matches!(event, Event::ExpectedDelay { exchange: 2, open_attempts: 0, .. })),
+        "{all:?}"
+    );
     desk.put(Input::Drain);
     desk.pass(11_000);
     assert_eq!(events(&desk).iter().filter(|event| **event == Event::Stopped).count(), 1);
@@ -174,14 +192,14 @@
         let life = lives.remove(&call).unwrap_or_default();
         let told = desk.told(call);
         assert!(matches!(life[0], Event::SetUp { .. }), "{life:?}");
-        let answers = told.iter().filter(|word| matches!(word, CallerWord::Answer { .. })).count();
-        let refusals = told.iter().filter(|word| matches!(word, CallerWord::Refused { .. })).count();
-        let failures = told.iter().filter(|word| matches!(word, CallerWord::Failed { .. })).count();
+        let answers = told.iter().filter(|word| matches!(word, CallerMessage::Answered { .. })).count();
+        let refusals = told.iter().filter(|word| matches!(word, CallerMessage::Refused { .. })).count();
+        let failures = told.iter().filter(|word| matches!(word, CallerMessage::Failed { .. })).count();
         let count = |holds: fn(&Event) -> bool| life.iter().filter(|event| holds(event)).count();
-        assert_eq!(count(|e| matches!(e, Event::Answer { .. })), answers, "{life:?} {told:?}");
+        assert_eq!(count(|e| matches!(e, Event::Answered { .. })), answers, "{life:?} {told:?}");
         assert_eq!(count(|e| matches!(e, Event::Refused { .. })), refusals, "{life:?} {told:?}");
         assert_eq!(count(|e| matches!(e, Event::Failed { .. })), failures, "{life:?} {told:?}");
-        let given_up = count(|e| matches!(e, Event::GivenUp { .. }));
+        let given_up = count(|e| matches!(e, Event::Abandoned { .. }));
         assert_eq!(answers + refusals + failures + given_up, 1, "one outcome each: {life:?}");
         assert_eq!(
             count(|e| matches!(e, Event::Released { .. })),
@@ -189,7 +207,7 @@
             "what stood is released: {life:?}"
         );
         // One that waits for a way may never be sent.
-        let at_once = count(|e| matches!(e, Event::Attempt { waits: false, .. }));
+        let at_once = count(|e| matches!(e, Event::Attempt { awaits_connection: false, .. }));
         let all = count(|e| matches!(e, Event::Attempt { .. }));
         assert!((at_once..=all).contains(&desk.setups(call)), "{life:?}");
         // Attempts count up, and each ends before the next begins.
@@ -197,7 +215,7 @@
         for event in &life {
             match event {
                 Event::Attempt { attempt, .. } => assert!(out.replace(*attempt).is_none(), "{life:?}"),
-                Event::AttemptEnd { attempt, .. } => assert_eq!(out.take(), Some(*attempt), "{life:?}"),
+                Event::AttemptEnded { attempt, .. } => assert_eq!(out.take(), Some(*attempt), "{life:?}"),
                 Event::SetUp { .. } | Event::Released { .. } => {}
                 _ => out = None,
             }
@@ -212,8 +230,8 @@
         let mut draw = Draw(seed);
         let mut desk = recording(4);
         for place in 1..4 {
-            let conn = desk.way(place);
-            desk.put(Input::GroupState { conn, report: vec![30.0, 30.0] });
+            let exchange_conn = desk.way(place);
+            desk.put(Input::GroupState { exchange_conn, report: vec![30.0, 30.0] });
         }
         let mut made = 1;
         desk.call(made, 1, 1_000);
@@ -226,17 +244,17 @@
                 }
                 4 | 5 => desk.answer(call, place),
                 6 => {
-                    let ends = [Outcome::Full, Outcome::Reset, Outcome::Ended, Outcome::Busy];
+                    let ends = [Outcome::Congested, Outcome::Reset, Outcome::Completed, Outcome::Busy];
                     let end = ends[draw.below(4) as usize];
-                    let reason = if end == Outcome::Busy { Reason::LinesBusy } else { Reason::None };
+                    let reason = if end == Outcome::Busy { Reason::UserBusy } else { Reason::Unspecified };
                     desk.end(call, place, end, reason);
                 }
-                7 => desk.put(Input::HangUp { link: LINK, call: name(call), cause: 16 }),
+                7 => desk.put(Input::HangUp { caller_conn: LINK, call: name(call), cause: 16 }),
                 8 if draw.below(8) == 0 => {
-                    let conn = desk.way(place);
-                    desk.put(Input::ConnectionLost { conn });
-                    let conn = desk.way(place);
-                    desk.put(Input::Connected { conn, bound: false });
+                    let exchange_conn = desk.way(place);
+                    desk.put(Input::ExchangeDisconnected { exchange_conn });
+                    let exchange_conn = desk.way(place);
+                    desk.put(Input::ExchangeConnected { exchange_conn, carries_calls: false });
                 }
                 _ => desk.pass(draw.below(300)),
             }
@@ -244,7 +262,7 @@
         // Everything ends: what stands is released, what waits runs out.
         desk.pass(4_000);
         for call in 1..=made {
-            desk.put(Input::HangUp { link: LINK, call: name(call), cause: 16 });
+            desk.put(Input::HangUp { caller_conn: LINK, call: name(call), cause: 16 });
         }
         desk.pass(1_000);
         check_history(&desk, made);
@@ -431,19 +449,25 @@
 
 #[test]
 fn the_fleet_is_told_as_it_is_seen_from_here_and_only_where_that_is_on() {
-    assert_eq!(ops::read(b"GET /edge/fleet HTTP/1.1\r\n\r\n", true), Ok(Some(Order::Fleet)));
-    assert_eq!(ops::read(b"GET /edge/fleet HTTP/1.1\r\n\r\n", false), Err(ops::CallError::UnknownPath));
+    assert_eq!(
+        ops::parse_request(b"GET /edge/fleet HTTP/1.1\r\n\r\n", true),
+        Ok(Some(OperatorRequest::Fleet))
+    );
+    assert_eq!(
+        ops::parse_request(b"GET /edge/fleet HTTP/1.1\r\n\r\n", false),
+        Err(ops::RequestError::UnknownPath)
+    );
     let mut desk = Desk::new(3);
-    let conn = desk.way(1);
-    desk.put(Input::GroupState { conn, report: vec![20.0, 30.0] });
+    let exchange_conn = desk.way(1);
+    desk.put(Input::GroupState { exchange_conn, report: vec![20.0, 30.0] });
     desk.call(1, 1, 2_000);
     desk.call(2, 1, 2_000);
     desk.answer(1, 1);
     desk.pass(400);
     desk.put(Input::List(vec![entry(0, Readiness::Ready), entry(1, Readiness::Draining)]));
     desk.seen.clear();
-    desk.put(Input::Operator { ticket: 1, order: Order::Fleet });
-    let Some(Effect::ToOperator { reply: ops::Reply::Fleet(text), .. }) = desk.seen.first() else {
+    desk.put(Input::OperatorRequest { request_id: 1, request: OperatorRequest::Fleet });
+    let Some(Effect::ToOperator { reply: ops::OperatorReply::Fleet(text), .. }) = desk.seen.first() else {
         panic!("{:?}", desk.seen)
     };
     let json: JsonValue = text.parse().expect("JSON");
--- a/tests/replacement.rs
+++ b/tests/replacement.rs
@@ -17,16 +17,18 @@
 use desk::{Desk, LINK, config, name};
 use peers::{Exchange, Lines, Phone, ask, launch};
 use swiftlb::Controller;
-use swiftlb::engine::{CallerWord, Effect, Engine, Front, Inheritance, Input, PeerWord, TwinWord};
+use swiftlb::engine::{
+    CallerMessage, Effect, Engine, ExchangeMessage, Front, HandoverState, Input, SiblingMessage,
+};
 use swiftlb::iax2::Iax2Config;
 use swiftlb::iax2::frame::{Kind, iax};
-use swiftlb::interface::{Event, ListKind, Listed, Outcome, Readiness, Reason};
+use swiftlb::interface::{Event, ListUpdateKind, ListedExchange, Outcome, Readiness, Reason};
 use swiftlb::net::handover;
 
 /// What one process has said to the other since it was last looked at.
-fn said(desk: &mut Desk) -> Vec<TwinWord> {
+fn said(desk: &mut Desk) -> Vec<SiblingMessage> {
     let words = desk.seen.iter().filter_map(|effect| match effect {
-        Effect::ToTwin(word) => Some(word.clone()),
+        Effect::ToSibling(word) => Some(word.clone()),
         _ => None,
     });
     let words = words.collect();
@@ -36,22 +38,24 @@
 
 fn listen(from: &mut Desk, to: &mut Desk) {
     for word in said(from) {
-        to.put(Input::Twin(word));
+        to.put(Input::SiblingMessage(word));
     }
 }
 
 /// A process that takes the place of this one, started from what that hands over.
 fn successor(old: &mut Desk) -> Desk {
     old.seen.clear();
-    old.put(Input::Twin(TwinWord::Hello));
-    let mut inheritance = Inheritance::default();
+    old.put(Input::SiblingMessage(SiblingMessage::HandoverRequest));
+    let mut inheritance = HandoverState::default();
     for word in said(old) {
         // Through the wire: nothing may be lost on the way.
         let line = handover::write(&word);
         match handover::read(&line).expect("a word") {
-            TwinWord::Exchange(entry) => inheritance.list.push(entry),
-            TwinWord::Belief { topic, of, values } => inheritance.beliefs.push((topic, of, values)),
-            TwinWord::Whole { serial } => inheritance.serial = serial,
+            SiblingMessage::Exchange(entry) => inheritance.list.push(entry),
+            SiblingMessage::Learned { topic, exchange, values } => {
+                inheritance.learned.push((topic, exchange, values))
+            }
+            SiblingMessage::HandoverComplete { serial } => inheritance.serial = serial,
             word => panic!("{word:?}"),
         }
     }
@@ -62,7 +66,7 @@
     new.engine =
         Engine::succeed(&config(3), inheritance, old.now, &mut new.seen).expect("settings that make sense");
     let ways = new.seen.iter().filter_map(|effect| match effect {
-        Effect::Connect { conn, name, .. } => Some((name.to_string(), *conn)),
+        Effect::ConnectExchange { exchange_conn, name, .. } => Some((name.to_string(), *exchange_conn)),
         _ => None,
     });
     new.ways = ways.collect();
@@ -75,12 +79,12 @@
     assert!(new.seen.contains(&Effect::Accept(false)) && !new.seen.contains(&Effect::Accept(true)));
     for place in [1, 2] {
         assert!(said(&mut new).is_empty(), "it cannot serve yet");
-        new.put(Input::Connected { conn: new.way(place), bound: false });
+        new.put(Input::ExchangeConnected { exchange_conn: new.way(place), carries_calls: false });
     }
     assert!(new.seen.contains(&Effect::Accept(true)));
     listen(&mut new, old);
     assert!(old.seen.contains(&Effect::Accept(false)));
-    new.put(Input::LinkUp { link: LINK, front: Front::Platform });
+    new.put(Input::CallerConnected { caller_conn: LINK, front: Front::JsonLines });
     new
 }
 
@@ -88,14 +92,18 @@
 fn a_new_process_knows_what_the_old_one_has_learned_and_its_list() {
     let mut old = Desk::new(3);
     old.put(Input::List([0, 1].map(|place| desk::entry(place, Readiness::Ready)).to_vec()));
-    old.put(Input::Listed { serial: 7 });
-    old.put(Input::GroupState { conn: old.way(1), report: vec![0.0, 30.0] });
+    old.put(Input::ListConfirmed { serial: 7 });
+    old.put(Input::GroupState { exchange_conn: old.way(1), report: vec![0.0, 30.0] });
     let mut new = successor(&mut old);
     assert_eq!(new.ways.len(), 1, "the list of the start has two others");
-    new.put(Input::Connected { conn: new.way(1), bound: false });
-    new.put(Input::LinkUp { link: LINK, front: Front::Platform });
+    new.put(Input::ExchangeConnected { exchange_conn: new.way(1), carries_calls: false });
+    new.put(Input::CallerConnected { caller_conn: LINK, front: Front::JsonLines });
     new.call(1, 1, 3_000);
-    assert!(matches!(new.told(1)[..], [CallerWord::Refused { .. }]), "the group is full: {:?}", new.told(1));
+    assert!(
+        matches!(new.told(1)[..], [CallerMessage::Refused { .. }]),
+        "the group is full: {:?}",
+        new.told(1)
+    );
 }
 
 #[test]
@@ -107,21 +115,28 @@
     let _new = pair(&mut old);
     old.put(Input::Drain);
     old.pass(1_000);
-    old.put(Input::Check { link: LINK, call: name(99) });
-    assert_eq!(old.told(99), [CallerWord::Checked { passed: true }], "the softswitch takes work");
-    assert!(!old.seen.contains(&Effect::CloseIfQuiet { link: LINK }), "a set-up is open on it");
+    old.put(Input::HealthCheck { caller_conn: LINK, call: name(99) });
+    assert_eq!(
+        old.told(99),
+        [CallerMessage::HealthCheckResult { passed: true }],
+        "the softswitch takes work"
+    );
+    assert!(
+        !old.seen.contains(&Effect::CloseCallerConnIfIdle { caller_conn: LINK }),
+        "a set-up is open on it"
+    );
     old.answer(2, 1);
     old.pass(60);
-    assert!(old.seen.contains(&Effect::CloseIfQuiet { link: LINK }));
-    old.put(Input::LinkDown { link: LINK });
-    old.end(1, 1, Outcome::Ended, Reason::None);
+    assert!(old.seen.contains(&Effect::CloseCallerConnIfIdle { caller_conn: LINK }));
+    old.put(Input::CallerDisconnected { caller_conn: LINK });
+    old.end(1, 1, Outcome::Completed, Reason::Unspecified);
     old.pass(2_000);
     assert!(!old.seen.contains(&Effect::Exit), "a call still stands");
     // Its caller is with the other process by now.
-    old.end(2, 1, Outcome::Ended, Reason::None);
+    old.end(2, 1, Outcome::Completed, Reason::Unspecified);
     old.pass(60);
     assert!(old.seen.contains(&Effect::Exit));
-    assert!(said(&mut old).contains(&TwinWord::Release { call: name(2), cut: false }));
+    assert!(said(&mut old).contains(&SiblingMessage::Release { call: name(2), cut: false }));
 }
 
 #[test]
@@ -133,20 +148,20 @@
     }
     let mut new = pair(&mut old);
     // The caller's release comes to the new process, the exchange's word to either.
-    new.put(Input::HangUp { link: LINK, call: name(1), cause: 16 });
+    new.put(Input::HangUp { caller_conn: LINK, call: name(1), cause: 16 });
     listen(&mut new, &mut old);
-    assert!(old.sent(1).iter().any(|(_, word)| *word == PeerWord::Release { cause: 16 }));
-    new.end(2, 1, Outcome::Ended, Reason::None);
+    assert!(old.sent(1).iter().any(|(_, word)| *word == ExchangeMessage::Release { cause: 16 }));
+    new.end(2, 1, Outcome::Completed, Reason::Unspecified);
     assert!(new.told(2).is_empty());
     listen(&mut new, &mut old);
-    assert_eq!(old.told(2), [CallerWord::Released { cut: false }]);
-    old.put(Input::LinkDown { link: LINK });
-    old.end(3, 1, Outcome::Reset, Reason::None);
+    assert_eq!(old.told(2), [CallerMessage::Released { cut: false }]);
+    old.put(Input::CallerDisconnected { caller_conn: LINK });
+    old.end(3, 1, Outcome::Reset, Reason::Unspecified);
     listen(&mut old, &mut new);
     new.call(9, 1, 3_000);
-    assert_eq!(new.told(3), [CallerWord::Released { cut: true }]);
+    assert_eq!(new.told(3), [CallerMessage::Released { cut: true }]);
     // Said again, it is old news on both sides.
-    new.end(3, 1, Outcome::Reset, Reason::None);
+    new.end(3, 1, Outcome::Reset, Reason::Unspecified);
     listen(&mut new, &mut old);
     listen(&mut old, &mut new);
     assert!(new.told(3).is_empty() && old.told(3).is_empty());
@@ -157,53 +172,58 @@
     let mut old = Desk::new(3);
     let mut new = pair(&mut old);
     old.seen.clear();
-    old.put(Input::TwinDown);
+    old.put(Input::SiblingDisconnected);
     assert!(old.seen.contains(&Effect::Accept(true)));
     old.call(5, 1, 3_000);
     assert_eq!(old.setups(5), 1);
     // An end of which nobody knows has nobody else to ask now.
-    new.put(Input::TwinDown);
+    new.put(Input::SiblingDisconnected);
     new.seen.clear();
-    new.end(77, 1, Outcome::Ended, Reason::None);
+    new.end(77, 1, Outcome::Completed, Reason::Unspecified);
     assert!(said(&mut new).is_empty());
     // One that dies before it serves had taken nothing.
     let _dead = successor(&mut old);
-    old.put(Input::TwinDown);
+    old.put(Input::SiblingDisconnected);
     assert!(!old.seen.contains(&Effect::Accept(false)));
     old.put(Input::Drain);
     old.pass(800);
     assert!(!old.seen.contains(&Effect::Exit), "a call is open");
-    old.end(5, 1, Outcome::Busy, Reason::LinesBusy);
+    old.end(5, 1, Outcome::Busy, Reason::UserBusy);
     assert!(old.seen.contains(&Effect::Exit), "without a successor, as ever");
 }
 
 #[test]
 fn beliefs_live_on_and_both_processes_together_keep_the_cold_budget() {
     let mut settings = config(3).settings;
-    settings.release_ms = 500.0;
-    let listed = |number: u32, born_ms: f64| {
+    settings.release_pause_ms = 500.0;
+    let listed = |number: u32, started_ms: f64| {
         let id = swiftlb::interface::ExchangeId { address: number.to_be_bytes(), port: 0 };
-        Listed { id, number, zone: 0, born_ms, readiness: Readiness::Ready }
+        ListedExchange { id, number, zone: 0, started_ms, readiness: Readiness::Ready }
     };
     let start = 1_800_000_000_000.0;
     let feed =
         |controller: &mut Controller, at: f64, event: Event| controller.handle(at, event, &mut Vec::new());
-    let list = |born| Event::List { kind: ListKind::Full, entries: vec![listed(0, 0.0), listed(1, born)] };
+    let list =
+        |born| Event::List { kind: ListUpdateKind::Complete, entries: vec![listed(0, 0.0), listed(1, born)] };
     let mut old = Controller::new(settings.clone(), 1).expect("settings that make sense");
     feed(&mut old, start, list(0.0));
     let report = Some(vec![17.0, 30.0]);
     let exchange = listed(1, 0.0).id;
-    feed(&mut old, start, Event::Probed { exchange, answered: true, took_ms: 0.0, report });
+    feed(&mut old, start, Event::ProbeResult { exchange, answered: true, elapsed_ms: 0.0, report });
     let sent = |controller: &mut Controller, from: u32, at: f64| {
         let mut actions = Vec::new();
         let desk = Desk::new(3);
         for call in from..from + 200 {
             controller.handle(at, Event::Call(desk::new_call(call, 1)), &mut actions);
-            controller.handle(at, Event::Stands { call, attempt: 0, exchange, took_ms: 5.0 }, &mut actions);
+            controller.handle(
+                at,
+                Event::Answered { call, attempt: 0, exchange, elapsed_ms: 5.0 },
+                &mut actions,
+            );
             let report = Some(vec![200.0, 300.0]);
             controller.handle(
                 at,
-                Event::Probed { exchange, answered: true, took_ms: 0.0, report },
+                Event::ProbeResult { exchange, answered: true, elapsed_ms: 0.0, report },
                 &mut actions,
             );
         }
--- a/tests/resolver.rs
+++ b/tests/resolver.rs
@@ -6,7 +6,7 @@
 use crossbeam_channel::{Receiver, bounded};
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
 use simple_dns::{CLASS, Name, Packet, ResourceRecord};
-use swiftlb::engine::Entry;
+use swiftlb::engine::ListEntry;
 use swiftlb::net::dns::{self, Source};
 
 /// Nothing that is waited for takes this long.
@@ -58,7 +58,7 @@
     packet.build_bytes_vec().expect("an answer")
 }
 
-fn names(list: &Receiver<Vec<Entry>>) -> Vec<String> {
+fn names(list: &Receiver<Vec<ListEntry>>) -> Vec<String> {
     let list = list.recv_timeout(PATIENCE).expect("a list");
     list.iter().map(|entry| entry.name.to_string()).collect()
 }
