--- a/benches/recording.rs
+++ b/benches/recording.rs
@@ -12,7 +12,7 @@
 use criterion::{Criterion, criterion_group, criterion_main};
 use desk::{Desk, LINK, name};
 use swiftlb::engine::{Effect, Input};
-use swiftlb_record::{Head, Recorder, Settings};
+use swiftlb_record::{FileHeader, Recorder, RecorderSettings};
 
 /// A call to exchange 1: set-up, news of the group, answer, release, news again.
 fn call(desk: &mut Desk, number: u64, mut keep: impl FnMut(Effect)) {
@@ -48,8 +48,12 @@
         });
     });
     let folder = std::env::temp_dir().join(format!("swiftlb-bench-{}", std::process::id()));
-    let settings = Settings { directory: folder.clone(), budget_bytes: 256 << 20, ..Settings::default() };
-    let recorder = Recorder::start(settings, Head::of("n0", 0, 1), |error| panic!("{error}"));
+    let settings = RecorderSettings {
+        directory: folder.clone(),
+        budget_bytes: 256 << 20,
+        ..RecorderSettings::default()
+    };
+    let recorder = Recorder::start(settings, FileHeader::first_of_run("n0", 0, 1), |error| panic!("{error}"));
     let mut recorder = recorder.expect("a folder");
     let mut desk = Desk::new(7);
     desk.engine.record(false, &mut Vec::new());
--- a/crates/console/src/replay.rs
+++ b/crates/console/src/replay.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use swiftlb_record::merge::{Merge, Told, What};
+use swiftlb_record::merge::{EntryContent, Merge, TimelineEntry};
 use swiftlb_record::{Archive, ConnectionChange, Event, ListedReadiness};
 
 use crate::model::{Model, Seen, Snapshot};
@@ -130,7 +130,7 @@
 pub struct Replay {
     archive: Archive,
     merge: Merge,
-    next: Option<Told>,
+    next: Option<TimelineEntry>,
     states: Vec<State>,
     model: Model,
     begin_us: u64,
@@ -175,10 +175,10 @@
         while let Some(told) = self.next.take_if(|told| told.at_us <= until) {
             self.at_us = self.at_us.max(told.at_us);
             let state = &mut self.states[told.softswitch];
-            match &told.what {
-                What::Event(event) | What::Context(event) => state.see(told.at_us, event),
-                What::RunEnds { .. } => state.runs = false,
-                What::Gap(_) => {}
+            match &told.content {
+                EntryContent::Event(event) | EntryContent::Context(event) => state.see(told.at_us, event),
+                EntryContent::RunEnded { .. } => state.runs = false,
+                EntryContent::Gap(_) => {}
             }
             self.next = self.merge.next();
             if self.at_us >= self.taken_us + EVERY_US {
--- a/crates/console/tests/console.rs
+++ b/crates/console/tests/console.rs
@@ -6,7 +6,8 @@
 
 use swiftlb_console::{Model, Order, Replay, Seen, Snapshot, SwitchState, fetch, view};
 use swiftlb_record::{
-    Archive, CallUid, ConnectionChange, Event, FileWriter, Front, Head, ListedReadiness, Record, file_name,
+    Archive, CallUid, ConnectionChange, Event, FileHeader, FileWriter, Front, ListedReadiness, Record,
+    file_name,
 };
 
 const PATIENCE: Duration = Duration::from_secs(8);
@@ -208,7 +209,7 @@
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
     let start = 1_800_000_000_000_000;
-    let head = Head::of("n0", 0, start);
+    let head = FileHeader::first_of_run("n0", 0, start);
     let mut writer = FileWriter::create(Vec::new(), &head).expect("memory");
     let mut at = |ms: u64, event| writer.push(&Record { at_us: start + ms * 1_000, event }).expect("memory");
     at(0, Event::Started { version: "0".to_owned(), home: Some(0), is_replacement: false });
--- a/crates/ctl/src/console.rs
+++ b/crates/ctl/src/console.rs
@@ -97,7 +97,7 @@
 
 fn play(folders: &[PathBuf], at: Duration, once: bool) -> Result<(), Failure> {
     let archive = Archive::open(folders);
-    for trouble in &archive.troubles {
+    for trouble in &archive.file_errors {
         eprintln!("swiftlbctl: {trouble}");
     }
     if archive.runs.is_empty() {
--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/report.rs
@@ -70,9 +70,9 @@
 pub fn build(paths: &[PathBuf], window_us: (u64, u64)) -> Result<Report, Failure> {
     let archive = Archive::open(paths);
     if archive.runs.is_empty() {
-        let why = archive.troubles.first().map_or("no record files in it".to_owned(), ToString::to_string);
+        let why = archive.file_errors.first().map_or("no record files in it".to_owned(), ToString::to_string);
         let names: Vec<String> = paths.iter().map(|path| path.display().to_string()).collect();
-        return Err(Failure::User(if archive.troubles.is_empty() {
+        return Err(Failure::User(if archive.file_errors.is_empty() {
             format!("{}: {why}", names.join(", "))
         } else {
             why
--- a/crates/ctl/tests/cli.rs
+++ b/crates/ctl/tests/cli.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use swiftlb_record::{
-    AttemptOutcome, AttemptReason, CallUid, ConnectionChange, Event, FileWriter, Front, Head, Record,
+    AttemptOutcome, AttemptReason, CallUid, ConnectionChange, Event, FileHeader, FileWriter, Front, Record,
     file_name,
 };
 
@@ -42,7 +42,7 @@
 
 /// Records of a softswitch that was refused by exchange 2 for four seconds.
 fn records(folder: &Path, node: u32) -> PathBuf {
-    let head = Head::of(&format!("n{node}"), node, START);
+    let head = FileHeader::first_of_run(&format!("n{node}"), node, START);
     let mut writer = FileWriter::create(Vec::new(), &head).expect("memory");
     let mut at = |ms: u64, event: Event| {
         writer.push(&Record { at_us: START + ms * 1_000, event }).expect("memory");
--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -17,7 +17,7 @@
     CallerHears, ExchangeHears, ExchangeSays, Input as WorldInput, Listed, Node, Output, Scenario,
     SwitchHears, World,
 };
-use swiftlb_record::{FileWriter, Head, Record, file_name};
+use swiftlb_record::{FileHeader, FileWriter, Record, file_name};
 
 /// The moment at which the world begins.
 pub const EPOCH: Duration = Duration::from_secs(1_800_000_000);
@@ -42,7 +42,7 @@
     start: u32,
     conns: BTreeMap<ExchangeConnId, usize>,
     serial: u32,
-    file: Option<(Head, FileWriter<Vec<u8>>)>,
+    file: Option<(FileHeader, FileWriter<Vec<u8>>)>,
     flushed: Duration,
 }
 
@@ -178,7 +178,7 @@
         let mut engine = Engine::new(&config, at(self.now), &mut effects).expect("settings that make sense");
         engine.record(false, &mut effects);
         let run_us = self.shows(switch, (EPOCH + self.now).as_micros() as u64);
-        let head = Head::of(&format!("n{switch}"), switch as u32, run_us);
+        let head = FileHeader::first_of_run(&format!("n{switch}"), switch as u32, run_us);
         let writer = FileWriter::create(Vec::new(), &head).expect("memory");
         let held = &mut self.switches[switch];
         (held.engine, held.start, held.serial) = (Some(engine), held.start + 1, serial);
@@ -200,9 +200,9 @@
     fn save(&mut self, switch: usize, killed: bool) {
         let Some((head, mut writer)) = self.switches[switch].file.take() else { return };
         let path = self.folder.join(file_name(&head));
-        let before = writer.written() as usize;
+        let before = writer.written_bytes() as usize;
         writer.flush().expect("memory");
-        let whole = writer.written() as usize;
+        let whole = writer.written_bytes() as usize;
         let bytes = writer.finish().expect("memory");
         let keep = if killed { before + (whole - before) / 2 } else { bytes.len() };
         std::fs::write(path, &bytes[..keep]).expect("a file");
--- a/crates/ctl/tests/incidents.rs
+++ b/crates/ctl/tests/incidents.rs
@@ -25,9 +25,9 @@
     let scenario = Scenario { lasts: Duration::from_secs(45), incidents, ..Scenario::default() };
     let world = Mesh::play(scenario, seed, clocks, &folder);
     let archive = Archive::open(std::slice::from_ref(&folder));
-    assert!(archive.troubles.is_empty(), "{:?}", archive.troubles);
+    assert!(archive.file_errors.is_empty(), "{:?}", archive.file_errors);
     let mut merge = Merge::open(&archive, (0, u64::MAX));
-    let mut detector = Detector::new(merge.homes());
+    let mut detector = Detector::new(merge.home_exchanges());
     for told in merge.by_ref() {
         detector.see(&told);
     }
--- a/crates/record/src/archive.rs
+++ b/crates/record/src/archive.rs
@@ -7,23 +7,23 @@
 
 use thiserror::Error;
 
-use crate::format::{FormatError, Head};
+use crate::format::{FileHeader, FormatError};
 use crate::read::FileReader;
 use crate::retention::parse_file_name;
 
 /// A file that cannot be used; the others can.
 #[derive(Debug, Error)]
 #[error("{}: {error}", path.display())]
-pub struct Trouble {
+pub struct FileError {
     /// The file.
     pub path: PathBuf,
     /// What is wrong.
     pub error: io::Error,
 }
 
-impl Trouble {
+impl FileError {
     /// What is wrong with its form, if that is it.
-    pub fn format(&self) -> Option<&FormatError> {
+    pub fn format_error(&self) -> Option<&FormatError> {
         self.error.get_ref().and_then(|error| error.downcast_ref())
     }
 }
@@ -36,7 +36,7 @@
     /// Number of its own exchange, if a head says.
     pub home: Option<u32>,
     /// When its process started, in Unix microseconds by its own clock.
-    pub run_us: u64,
+    pub started_us: u64,
     /// Its files.
     pub files: Vec<PathBuf>,
 }
@@ -50,19 +50,19 @@
     /// The runs.
     pub runs: Vec<Run>,
     /// Files that cannot be used.
-    pub troubles: Vec<Trouble>,
+    pub file_errors: Vec<FileError>,
 }
 
 impl Archive {
     /// Looks through these files and folders (not through folders within them). What cannot be used is told in
     /// `troubles`.
     pub fn open(paths: &[PathBuf]) -> Self {
-        let (mut files, mut troubles) = (Vec::new(), Vec::new());
+        let (mut files, mut file_errors) = (Vec::new(), Vec::new());
         for path in paths {
             let found = if path.is_dir() { record_files(path) } else { Ok(vec![path.clone()]) };
             match found {
                 Ok(found) => files.extend(found),
-                Err(error) => troubles.push(Trouble { path: path.clone(), error }),
+                Err(error) => file_errors.push(FileError { path: path.clone(), error }),
             }
         }
         files.sort();
@@ -71,18 +71,18 @@
         for path in files {
             match head_of(&path) {
                 Ok(head) => {
-                    let (home, files) = runs.entry((head.softswitch, head.run_us)).or_default();
+                    let (home, files) = runs.entry((head.softswitch, head.run_started_us)).or_default();
                     *home = home.or(head.home);
-                    files.push((head.file, path));
+                    files.push((head.file_number, path));
                 }
-                Err(error) => troubles.push(Trouble { path, error }),
+                Err(error) => file_errors.push(FileError { path, error }),
             }
         }
-        let runs = runs.into_iter().map(|((softswitch, run_us), (home, mut files))| {
+        let runs = runs.into_iter().map(|((softswitch, started_us), (home, mut files))| {
             files.sort();
-            Run { softswitch, home, run_us, files: files.into_iter().map(|(_, path)| path).collect() }
+            Run { softswitch, home, started_us, files: files.into_iter().map(|(_, path)| path).collect() }
         });
-        Self { runs: runs.collect(), troubles }
+        Self { runs: runs.collect(), file_errors }
     }
 
     /// Names of the softswitches, each once.
@@ -105,7 +105,7 @@
 }
 
 /// Whose file it is: by its head, or by its name where the head is damaged.
-fn head_of(path: &Path) -> io::Result<Head> {
+fn head_of(path: &Path) -> io::Result<FileHeader> {
     let reader = FileReader::open(BufReader::new(File::open(path)?))?;
     let named = || path.file_name()?.to_str().and_then(parse_file_name);
     let nobody = || {
@@ -114,5 +114,5 @@
             "its head is damaged and its name does not say whose it is",
         )
     };
-    reader.head().cloned().or_else(named).ok_or_else(nobody)
+    reader.header().cloned().or_else(named).ok_or_else(nobody)
 }
--- a/crates/record/src/clocks.rs
+++ b/crates/record/src/clocks.rs
@@ -23,7 +23,7 @@
 /// No bound.
 const NONE: i64 = i64::MAX / 4;
 
-/// One thing that is known to have come before another: by the clocks, `to` minus `from` is `most_us` at most.
+/// One thing that is known to have come before another: by the clocks, `to` minus `from` is `max_difference_us` at most.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bound {
     /// Whose record is the earlier one.
@@ -33,7 +33,7 @@
     /// Time of the earlier one by its own clock.
     pub at_us: u64,
     /// Time of the later one less that of the earlier one, each by its own clock.
-    pub most_us: i64,
+    pub max_difference_us: i64,
 }
 
 /// What the records of both sides say of one call in transit.
@@ -54,7 +54,7 @@
 
 /// Reads records and finds what bounds their clocks. Takes them in any order that is right to within some seconds.
 #[derive(Debug, Default)]
-pub struct Sightings {
+pub struct BoundCollector {
     /// Softswitches by the number of their exchange; `None` where two have the same.
     by_home: HashMap<u32, Option<usize>>,
     homes: Vec<Option<u32>>,
@@ -72,7 +72,7 @@
     *place = Some(place.map_or(at, |known| known.max(at)));
 }
 
-impl Sightings {
+impl BoundCollector {
     /// For softswitches whose own exchanges have these numbers.
     pub fn new(homes: &[Option<u32>]) -> Self {
         let mut by_home: HashMap<u32, Option<usize>> = HashMap::new();
@@ -85,7 +85,7 @@
     }
 
     /// Takes a record of this softswitch.
-    pub fn see(&mut self, softswitch: usize, record: &Record) {
+    pub fn observe(&mut self, softswitch: usize, record: &Record) {
         let at = record.at_us;
         let there = |exchange: u32| self.by_home.get(&exchange).copied().flatten();
         match &record.event {
@@ -157,8 +157,8 @@
             if over && transit.came.is_some() {
                 let mut pair = |from, to, earlier: Option<u64>, later: Option<u64>| {
                     if let Some((earlier, later)) = earlier.zip(later) {
-                        let most_us = later.wrapping_sub(earlier) as i64;
-                        bounds.add(Bound { from, to, at_us: earlier, most_us });
+                        let max_difference_us = later.wrapping_sub(earlier) as i64;
+                        bounds.add(Bound { from, to, at_us: earlier, max_difference_us });
                     }
                 };
                 pair(*origin, *tandem, transit.sent, transit.came);
@@ -170,7 +170,7 @@
     }
 
     /// All bounds that were found.
-    pub fn bounds(mut self) -> Bounds {
+    pub fn finish(mut self) -> Bounds {
         self.give_up(|_| true);
         self.bounds
     }
@@ -186,14 +186,14 @@
     /// Adds one.
     pub fn add(&mut self, bound: Bound) {
         let window = self.windows.entry(bound.at_us / WINDOW_US).or_default();
-        let most = window.entry((bound.from, bound.to)).or_insert(bound.most_us);
-        *most = (*most).min(bound.most_us);
+        let most = window.entry((bound.from, bound.to)).or_insert(bound.max_difference_us);
+        *most = (*most).min(bound.max_difference_us);
     }
 
     /// How far each of so many clocks is off the one that most is known of.
-    pub fn solve(&self, softswitches: usize) -> Clocks {
+    pub fn solve(&self, softswitches: usize) -> ClockOffsets {
         let n = softswitches;
-        let untied = Clocks {
+        let untied = ClockOffsets {
             window_us: WINDOW_US,
             first: 0,
             offsets: Vec::new(),
@@ -238,7 +238,7 @@
         let reference = (0..n).max_by_key(|i| (ties(*i), std::cmp::Reverse(*i))).unwrap_or(0);
         let offsets = windows.iter().map(|matrix| (0..n).map(|i| matrix.offset(reference, i)).collect());
         let reference = Some(reference);
-        Clocks { window_us, first: begin, offsets: offsets.collect(), reference, contradictions }
+        ClockOffsets { window_us, first: begin, offsets: offsets.collect(), reference, contradictions }
     }
 }
 
@@ -324,8 +324,8 @@
     }
 
     fn offset(&self, reference: usize, i: usize) -> Option<Offset> {
-        let uncertain_us = self.half(reference, i)?;
-        Some(Offset { ahead_us: (self.at(reference, i) - self.at(i, reference)) / 2, uncertain_us })
+        let uncertainty_us = self.half(reference, i)?;
+        Some(Offset { ahead_us: (self.at(reference, i) - self.at(i, reference)) / 2, uncertainty_us })
     }
 }
 
@@ -335,12 +335,12 @@
     /// Ahead by so many microseconds; behind if negative.
     pub ahead_us: i64,
     /// Give or take so many.
-    pub uncertain_us: i64,
+    pub uncertainty_us: i64,
 }
 
 /// The clocks made one.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Clocks {
+pub struct ClockOffsets {
     window_us: u64,
     /// Number of the first window.
     first: u64,
@@ -351,7 +351,7 @@
     pub contradictions: u64,
 }
 
-impl Clocks {
+impl ClockOffsets {
     /// The one that the others are compared with.
     pub fn reference(&self) -> Option<usize> {
         self.reference
@@ -375,7 +375,7 @@
         let between = |a: i64, b: i64| a + (i128::from(b - a) * part / i128::from(self.window_us)) as i64;
         Some(Offset {
             ahead_us: between(a.ahead_us, b.ahead_us),
-            uncertain_us: between(a.uncertain_us, b.uncertain_us),
+            uncertainty_us: between(a.uncertainty_us, b.uncertainty_us),
         })
     }
 
@@ -385,8 +385,8 @@
     }
 
     /// The greatest uncertainty of a clock over all windows, and whether it is tied in any.
-    pub fn worst(&self, softswitch: usize) -> Option<Offset> {
+    pub fn most_uncertain(&self, softswitch: usize) -> Option<Offset> {
         let of = self.offsets.iter().filter_map(|window| window.get(softswitch).copied().flatten());
-        of.max_by_key(|offset| offset.uncertain_us)
+        of.max_by_key(|offset| offset.uncertainty_us)
     }
 }
--- a/crates/record/src/format.rs
+++ b/crates/record/src/format.rs
@@ -10,7 +10,7 @@
 //! | 36..40, 40..44 | CRC-32 of the body; of the 40 bytes before |
 //! | 44.. | the body: postcard, compressed by zstd |
 //!
-//! The first block is the [`Head`]. A file that was closed in good order ends with an index block and a tail of 12
+//! The first block is the [`FileHeader`]. A file that was closed in good order ends with an index block and a tail of 12
 //! bytes: where the index begins, and `end\n`. All sizes are bounded, so that a damaged figure cannot cost memory.
 
 use serde::{Deserialize, Serialize};
@@ -19,7 +19,7 @@
 use crate::event::Record;
 
 /// The version that this program writes, and the latest that it reads.
-pub const VERSION: u8 = 1;
+pub const FORMAT_VERSION: u8 = 1;
 pub(crate) const MAGIC: [u8; 7] = *b"swlbrec";
 pub(crate) const MARK: [u8; 4] = *b"SWB\x1e";
 pub(crate) const TAIL: [u8; 4] = *b"end\n";
@@ -44,13 +44,15 @@
     Empty,
     /// It does not begin as one.
     #[error("not a record file: expected it to begin with 'swlbrec'")]
-    NotRecords,
+    NotRecordFile,
     /// A newer program wrote it.
-    #[error("record file of version {0}: expected version 1 to {VERSION}; read it with a newer program")]
-    UnknownVersion(u8),
+    #[error(
+        "record file of version {0}: expected version 1 to {FORMAT_VERSION}; read it with a newer program"
+    )]
+    UnsupportedVersion(u8),
     /// A body does not hold what its head says.
     #[error("block that does not hold what its head says")]
-    Body,
+    CorruptBody,
     /// The compressor's word.
     #[error("compression: {0}")]
     Compression(String),
@@ -58,29 +60,29 @@
 
 /// Whose records a file holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
+pub struct FileHeader {
     /// Name of the softswitch.
     pub softswitch: String,
     /// Number of its own exchange, if it has one.
     pub home: Option<u32>,
     /// When its process started, in Unix microseconds: it tells the runs of a name apart.
-    pub run_us: u64,
+    pub run_started_us: u64,
     /// Number of the file within the run, from 0.
-    pub file: u32,
+    pub file_number: u32,
 }
 
-impl Head {
+impl FileHeader {
     /// The first file of a run.
-    pub fn of(softswitch: &str, home: u32, run_us: u64) -> Self {
-        Self { softswitch: softswitch.to_owned(), home: Some(home), run_us, file: 0 }
+    pub fn first_of_run(softswitch: &str, home: u32, run_started_us: u64) -> Self {
+        Self { softswitch: softswitch.to_owned(), home: Some(home), run_started_us, file_number: 0 }
     }
 }
 
 /// What a block is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BlockKind {
-    /// The file's [`Head`].
-    Head,
+    /// The file's [`FileHeader`].
+    FileHeader,
     /// Records in the order in which they happened.
     Records,
     /// Records of earlier files of the run that still count: classes, exchanges, groups. They keep their times.
@@ -94,7 +96,7 @@
 impl BlockKind {
     fn byte(self) -> u8 {
         match self {
-            Self::Head => 0,
+            Self::FileHeader => 0,
             Self::Records => 1,
             Self::Context => 2,
             Self::Index => 3,
@@ -103,7 +105,7 @@
     }
 
     fn of(byte: u8) -> Self {
-        [Self::Head, Self::Records, Self::Context, Self::Index]
+        [Self::FileHeader, Self::Records, Self::Context, Self::Index]
             .into_iter()
             .find(|kind| kind.byte() == byte)
             .unwrap_or(Self::Unknown(byte))
@@ -112,34 +114,34 @@
 
 /// The head of a block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BlockHead {
+pub struct BlockHeader {
     /// What it is.
     pub kind: BlockKind,
     /// Records in it.
-    pub count: u32,
+    pub record_count: u32,
     /// Bytes of its body.
-    pub body: u32,
+    pub body_bytes: u32,
     /// Bytes of its body once decompressed.
-    pub raw: u32,
+    pub raw_bytes: u32,
     /// Time of its first record, in Unix microseconds.
     pub first_us: u64,
     /// Time of its last record.
     pub last_us: u64,
     /// CRC-32 of the body.
-    pub crc: u32,
+    pub body_crc32: u32,
 }
 
-impl BlockHead {
+impl BlockHeader {
     pub(crate) fn bytes(&self) -> [u8; BLOCK_HEAD] {
         let mut bytes = [0; BLOCK_HEAD];
         bytes[..4].copy_from_slice(&MARK);
         bytes[4] = self.kind.byte();
-        bytes[8..12].copy_from_slice(&self.count.to_le_bytes());
-        bytes[12..16].copy_from_slice(&self.body.to_le_bytes());
-        bytes[16..20].copy_from_slice(&self.raw.to_le_bytes());
+        bytes[8..12].copy_from_slice(&self.record_count.to_le_bytes());
+        bytes[12..16].copy_from_slice(&self.body_bytes.to_le_bytes());
+        bytes[16..20].copy_from_slice(&self.raw_bytes.to_le_bytes());
         bytes[20..28].copy_from_slice(&self.first_us.to_le_bytes());
         bytes[28..36].copy_from_slice(&self.last_us.to_le_bytes());
-        bytes[36..40].copy_from_slice(&self.crc.to_le_bytes());
+        bytes[36..40].copy_from_slice(&self.body_crc32.to_le_bytes());
         let crc = crc32fast::hash(&bytes[..40]);
         bytes[40..].copy_from_slice(&crc.to_le_bytes());
         bytes
@@ -154,14 +156,14 @@
         }
         let head = Self {
             kind: BlockKind::of(bytes[4]),
-            count: word(8),
-            body: word(12),
-            raw: word(16),
+            record_count: word(8),
+            body_bytes: word(12),
+            raw_bytes: word(16),
             first_us: long(20),
             last_us: long(28),
-            crc: word(36),
+            body_crc32: word(36),
         };
-        let bounded = head.body as usize <= LARGEST_BODY && head.raw as usize <= LARGEST_BODY;
+        let bounded = head.body_bytes as usize <= LARGEST_BODY && head.raw_bytes as usize <= LARGEST_BODY;
         bounded.then_some(head)
     }
 }
@@ -175,14 +177,14 @@
 ) -> Result<Vec<u8>, FormatError> {
     let compressed = zstd::bulk::compress(raw, EFFORT);
     let body = compressed.map_err(|error| FormatError::Compression(error.to_string()))?;
-    let head = BlockHead {
+    let head = BlockHeader {
         kind,
-        count,
-        body: body.len() as u32,
-        raw: raw.len() as u32,
+        record_count: count,
+        body_bytes: body.len() as u32,
+        raw_bytes: raw.len() as u32,
         first_us: times.0,
         last_us: times.1,
-        crc: crc32fast::hash(&body),
+        body_crc32: crc32fast::hash(&body),
     };
     let mut bytes = Vec::with_capacity(BLOCK_HEAD + body.len());
     bytes.extend_from_slice(&head.bytes());
@@ -191,9 +193,9 @@
 }
 
 /// The raw body behind this head.
-pub(crate) fn open_body(head: &BlockHead, body: &[u8]) -> Result<Vec<u8>, FormatError> {
-    let raw = zstd::bulk::decompress(body, head.raw as usize);
-    raw.ok().filter(|raw| raw.len() == head.raw as usize).ok_or(FormatError::Body)
+pub(crate) fn open_body(head: &BlockHeader, body: &[u8]) -> Result<Vec<u8>, FormatError> {
+    let raw = zstd::bulk::decompress(body, head.raw_bytes as usize);
+    raw.ok().filter(|raw| raw.len() == head.raw_bytes as usize).ok_or(FormatError::CorruptBody)
 }
 
 /// One place of the index.
@@ -208,10 +210,10 @@
 /// Adds a record to a raw body: its length, its time after `base_us` (which may be negative), the event.
 pub(crate) fn put_record(raw: &mut Vec<u8>, base_us: u64, record: &Record) -> Result<(), FormatError> {
     let after = record.at_us.wrapping_sub(base_us) as i64;
-    let body = postcard::to_stdvec(&(after, &record.event)).map_err(|_| FormatError::Body)?;
-    let length = u32::try_from(body.len()).map_err(|_| FormatError::Body)?;
+    let body = postcard::to_stdvec(&(after, &record.event)).map_err(|_| FormatError::CorruptBody)?;
+    let length = u32::try_from(body.len()).map_err(|_| FormatError::CorruptBody)?;
     let mut prefix = [0; 5];
-    let prefix = postcard::to_slice(&length, &mut prefix).map_err(|_| FormatError::Body)?;
+    let prefix = postcard::to_slice(&length, &mut prefix).map_err(|_| FormatError::CorruptBody)?;
     raw.extend_from_slice(prefix);
     raw.extend_from_slice(&body);
     Ok(())
@@ -221,8 +223,8 @@
 pub(crate) fn take_records(mut raw: &[u8], base_us: u64) -> Result<(Vec<Record>, u32), FormatError> {
     let (mut records, mut unknown) = (Vec::new(), 0);
     while !raw.is_empty() {
-        let (length, rest) = postcard::take_from_bytes::<u32>(raw).map_err(|_| FormatError::Body)?;
-        let body = rest.get(..length as usize).ok_or(FormatError::Body)?;
+        let (length, rest) = postcard::take_from_bytes::<u32>(raw).map_err(|_| FormatError::CorruptBody)?;
+        let body = rest.get(..length as usize).ok_or(FormatError::CorruptBody)?;
         raw = &rest[length as usize..];
         match postcard::from_bytes::<(i64, crate::event::Event)>(body) {
             Ok((after, event)) => records.push(Record { at_us: base_us.wrapping_add(after as u64), event }),
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -1,10 +1,10 @@
 //! Records of calls and decisions: what a softswitch writes while it serves, and how it is read again.
 //!
 //! ```
-//! use swiftlb_record::{Event, FileReader, FileWriter, Head, Item, Record};
+//! use swiftlb_record::{Event, FileReader, FileWriter, FileHeader, Item, Record};
 //! use std::io::Cursor;
 //!
-//! let mut writer = FileWriter::create(Vec::new(), &Head::of("n0", 0, 1_700_000_000_000_000))?;
+//! let mut writer = FileWriter::create(Vec::new(), &FileHeader::first_of_run("n0", 0, 1_700_000_000_000_000))?;
 //! writer.push(&Record { at_us: 1_700_000_000_000_250, event: Event::Stopping })?;
 //! let file = writer.finish()?;
 //!
@@ -30,13 +30,13 @@
 mod retention;
 mod write;
 
-pub use archive::{Archive, Run, Trouble};
+pub use archive::{Archive, FileError, Run};
 pub use event::{
     AttemptOutcome, AttemptReason, CallUid, ConnectionChange, DrainSource, Event, FailureReason, Front,
     ListedReadiness, Record, RefusalReason, ReleasedBy,
 };
-pub use format::{BlockHead, BlockKind, FormatError, Head, VERSION};
+pub use format::{BlockHeader, BlockKind, FORMAT_VERSION, FileHeader, FormatError};
 pub use read::{Block, Damage, FileReader, Gap, Item};
-pub use recorder::{Folder, Recorder, RecorderError, Settings, Storage};
-pub use retention::{Retention, file_name, parse_file_name, surplus};
+pub use recorder::{DirectoryStorage, Recorder, RecorderError, RecorderSettings, Storage};
+pub use retention::{Retention, file_name, files_to_remove, parse_file_name};
 pub use write::FileWriter;
--- a/crates/record/src/merge.rs
+++ b/crates/record/src/merge.rs
@@ -7,8 +7,8 @@
 use std::io::BufReader;
 use std::path::PathBuf;
 
-use crate::archive::{Archive, Trouble};
-use crate::clocks::{Clocks, Sightings};
+use crate::archive::{Archive, FileError};
+use crate::clocks::{BoundCollector, ClockOffsets};
 use crate::event::{CallUid, Event, Record};
 use crate::format::BlockKind;
 use crate::read::{FileReader, Gap, Item};
@@ -23,20 +23,20 @@
 
 /// Something of one softswitch, by the common time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct TimelineEntry {
     /// Corrected Unix time in microseconds; never less than that of what was told before.
     pub at_us: u64,
     /// Time by the softswitch's own clock.
-    pub own_us: u64,
+    pub local_us: u64,
     /// Its place in [`Merge::softswitches`].
     pub softswitch: usize,
     /// What.
-    pub what: What,
+    pub content: EntryContent,
 }
 
 /// What is told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum EntryContent {
     /// An event that was recorded.
     Event(Event),
     /// A state that was still valid when the records begin: the event that led to it is in no file any more.
@@ -44,9 +44,9 @@
     /// Records are missing here.
     Gap(Gap),
     /// The records of a process end here; whether it ended in good order.
-    RunEnds {
+    RunEnded {
         /// It said that it stops.
-        well: bool,
+        clean: bool,
     },
 }
 
@@ -55,7 +55,7 @@
     softswitch: usize,
     files: VecDeque<PathBuf>,
     reader: Option<FileReader<BufReader<File>>>,
-    waiting: VecDeque<(u64, What)>,
+    waiting: VecDeque<(u64, EntryContent)>,
     window_us: (u64, u64),
     last_us: u64,
     /// Context counts in the first file alone: later files repeat what was told.
@@ -65,7 +65,7 @@
 }
 
 impl Stream {
-    fn next(&mut self, troubles: &mut Vec<Trouble>) -> Option<(u64, What)> {
+    fn next(&mut self, file_errors: &mut Vec<FileError>) -> Option<(u64, EntryContent)> {
         loop {
             if let Some(next) = self.waiting.pop_front() {
                 return Some(next);
@@ -73,42 +73,42 @@
             if self.ended {
                 return None;
             }
-            self.refill(troubles);
+            self.refill(file_errors);
         }
     }
 
-    fn refill(&mut self, troubles: &mut Vec<Trouble>) {
+    fn refill(&mut self, file_errors: &mut Vec<FileError>) {
         let Some(reader) = &mut self.reader else {
             let Some(path) = self.files.pop_front() else {
                 self.ended = true;
-                self.waiting.push_back((self.last_us, What::RunEnds { well: self.stopped }));
+                self.waiting.push_back((self.last_us, EntryContent::RunEnded { clean: self.stopped }));
                 return;
             };
             let (from, to) = self.window_us;
             let opened = File::open(&path).and_then(|file| FileReader::open(BufReader::new(file)));
-            match opened.and_then(|mut reader| reader.seek(from, to).map(|()| reader)) {
+            match opened.and_then(|mut reader| reader.select_time_range(from, to).map(|()| reader)) {
                 Ok(reader) => self.reader = Some(reader),
-                Err(error) => troubles.push(Trouble { path, error }),
+                Err(error) => file_errors.push(FileError { path, error }),
             }
             return;
         };
         match reader.next_item() {
             Ok(Some(Item::Block(block))) => {
-                let context = block.head.kind == BlockKind::Context;
+                let context = block.header.kind == BlockKind::Context;
                 if context && !self.first_file {
                     return;
                 }
                 for Record { at_us, event } in block.records {
                     self.stopped = event == Event::Stopped;
                     if context {
-                        self.waiting.push_back((block.head.last_us, What::Context(event)));
+                        self.waiting.push_back((block.header.last_us, EntryContent::Context(event)));
                     } else if (self.window_us.0..=self.window_us.1).contains(&at_us) {
                         self.last_us = at_us;
-                        self.waiting.push_back((at_us, What::Event(event)));
+                        self.waiting.push_back((at_us, EntryContent::Event(event)));
                     }
                 }
             }
-            Ok(Some(Item::Gap(gap))) => self.waiting.push_back((self.last_us, What::Gap(gap))),
+            Ok(Some(Item::Gap(gap))) => self.waiting.push_back((self.last_us, EntryContent::Gap(gap))),
             Ok(None) | Err(_) => {
                 self.reader = None;
                 self.first_file = false;
@@ -130,17 +130,17 @@
 pub struct Merge {
     softswitches: Vec<String>,
     homes: Vec<Option<u32>>,
-    clocks: Clocks,
+    clocks: ClockOffsets,
     streams: Vec<Stream>,
     /// The next of each stream: when, which, and since when it waits for its cause.
     heads: BinaryHeap<Reverse<(u64, usize)>>,
-    held: Vec<Option<(u64, u64, What)>>,
+    held: Vec<Option<(u64, u64, EntryContent)>>,
     causes: HashMap<Link, u64>,
     causes_by_time: BTreeMap<u64, Vec<Link>>,
     last_us: u64,
-    troubles: Vec<Trouble>,
+    file_errors: Vec<FileError>,
     /// Effects whose cause was in no record.
-    pub without_cause: u64,
+    pub effects_without_cause: u64,
 }
 
 impl Merge {
@@ -160,31 +160,31 @@
                 reader: None,
                 waiting: VecDeque::new(),
                 window_us,
-                last_us: run.run_us,
+                last_us: run.started_us,
                 first_file: true,
                 stopped: false,
                 ended: false,
             };
             archive.runs.iter().map(stream).collect()
         };
-        let mut troubles = Vec::new();
-        let mut sightings = Sightings::new(&homes);
-        // By their own times: what the sightings make of them does not depend on a few seconds.
+        let mut file_errors = Vec::new();
+        let mut collector = BoundCollector::new(&homes);
+        // By their own times: what the collector make of them does not depend on a few seconds.
         let mut raw = streams();
         let mut heads = BinaryHeap::new();
-        let mut held: Vec<Option<(u64, What)>> = Vec::new();
+        let mut held: Vec<Option<(u64, EntryContent)>> = Vec::new();
         for (i, stream) in raw.iter_mut().enumerate() {
-            held.push(stream.next(&mut troubles));
+            held.push(stream.next(&mut file_errors));
             heads.extend(held[i].as_ref().map(|(at_us, _)| Reverse((*at_us, i))));
         }
         while let Some(Reverse((at_us, i))) = heads.pop() {
-            if let Some((_, What::Event(event))) = held[i].take() {
-                sightings.see(raw[i].softswitch, &Record { at_us, event });
+            if let Some((_, EntryContent::Event(event))) = held[i].take() {
+                collector.observe(raw[i].softswitch, &Record { at_us, event });
             }
-            held[i] = raw[i].next(&mut troubles);
+            held[i] = raw[i].next(&mut file_errors);
             heads.extend(held[i].as_ref().map(|(at_us, _)| Reverse((*at_us, i))));
         }
-        let clocks = sightings.bounds().solve(names.len());
+        let clocks = collector.finish().solve(names.len());
         let mut merge = Self {
             softswitches: names.clone(),
             homes,
@@ -195,8 +195,8 @@
             causes: HashMap::new(),
             causes_by_time: BTreeMap::new(),
             last_us: 0,
-            troubles,
-            without_cause: 0,
+            file_errors,
+            effects_without_cause: 0,
         };
         for i in 0..merge.streams.len() {
             merge.held.push(None);
@@ -211,18 +211,18 @@
     }
 
     /// Numbers of their own exchanges.
-    pub fn homes(&self) -> &[Option<u32>] {
+    pub fn home_exchanges(&self) -> &[Option<u32>] {
         &self.homes
     }
 
     /// How their clocks were made one.
-    pub fn clocks(&self) -> &Clocks {
+    pub fn clock_offsets(&self) -> &ClockOffsets {
         &self.clocks
     }
 
     /// Files that could not be read after all.
-    pub fn troubles(&self) -> &[Trouble] {
-        &self.troubles
+    pub fn file_errors(&self) -> &[FileError] {
+        &self.file_errors
     }
 
     /// Puts the next of a stream among the heads.
@@ -231,10 +231,10 @@
         let next = self.streams[i].next(&mut late);
         // The first reading has told of these already.
         drop(late);
-        self.held[i] = next.map(|(own_us, what)| {
-            let at_us = self.clocks.correct(self.streams[i].softswitch, own_us);
+        self.held[i] = next.map(|(local_us, what)| {
+            let at_us = self.clocks.correct(self.streams[i].softswitch, local_us);
             self.heads.push(Reverse((at_us, i)));
-            (own_us, at_us, what)
+            (local_us, at_us, what)
         });
     }
 
@@ -243,8 +243,8 @@
     }
 
     /// The cause at another softswitch that must be told before this, if there is one.
-    fn cause(&self, softswitch: usize, what: &What) -> Option<(Link, u32)> {
-        let What::Event(event) = what else { return None };
+    fn cause(&self, softswitch: usize, what: &EntryContent) -> Option<(Link, u32)> {
+        let EntryContent::Event(event) = what else { return None };
         match event {
             Event::SetUp { call, transit_from: Some(from), .. } => {
                 Some((Link::Sent(*call, *from, self.home(softswitch)?), *from))
@@ -260,8 +260,8 @@
     }
 
     /// What this is a cause of.
-    fn remember(&mut self, softswitch: usize, what: &What, at_us: u64) {
-        let (What::Event(event), Some(home)) = (what, self.home(softswitch)) else { return };
+    fn remember(&mut self, softswitch: usize, what: &EntryContent, at_us: u64) {
+        let (EntryContent::Event(event), Some(home)) = (what, self.home(softswitch)) else { return };
         let links: Vec<Link> = match event {
             Event::Attempt { call, exchange, .. } => vec![Link::Sent(*call, home, *exchange)],
             // That it came there at all: only then its answer there is a cause.
@@ -292,27 +292,27 @@
 }
 
 impl Iterator for Merge {
-    type Item = Told;
+    type Item = TimelineEntry;
 
-    fn next(&mut self) -> Option<Told> {
+    fn next(&mut self) -> Option<TimelineEntry> {
         loop {
             let Reverse((at_us, i)) = self.heads.pop()?;
-            let Some((own_us, first_us, what)) = self.held[i].take() else { continue };
+            let Some((local_us, first_us, what)) = self.held[i].take() else { continue };
             let softswitch = self.streams[i].softswitch;
             if let Some((cause, exchange)) = self.cause(softswitch, &what)
                 && !self.causes.contains_key(&cause)
             {
                 if at_us < first_us + WAIT_US && self.may_come(exchange) {
                     self.heads.push(Reverse((at_us + STEP_US, i)));
-                    self.held[i] = Some((own_us, first_us, what));
+                    self.held[i] = Some((local_us, first_us, what));
                     continue;
                 }
-                self.without_cause += 1;
+                self.effects_without_cause += 1;
             }
             self.last_us = self.last_us.max(at_us);
             self.remember(softswitch, &what, self.last_us);
             self.advance(i);
-            return Some(Told { at_us: self.last_us, own_us, softswitch, what });
+            return Some(TimelineEntry { at_us: self.last_us, local_us, softswitch, content: what });
         }
     }
 }
--- a/crates/record/src/read.rs
+++ b/crates/record/src/read.rs
@@ -4,8 +4,8 @@
 
 use crate::event::Record;
 use crate::format::{
-    self, BLOCK_HEAD, BlockHead, BlockKind, FormatError, Head, LARGEST_BODY, MAGIC, MARK, PREFIX, Place,
-    TAIL, TAIL_LEN, VERSION,
+    self, BLOCK_HEAD, BlockHeader, BlockKind, FORMAT_VERSION, FileHeader, FormatError, LARGEST_BODY, MAGIC,
+    MARK, PREFIX, Place, TAIL, TAIL_LEN,
 };
 
 /// What was wrong where records are missing.
@@ -23,13 +23,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gap {
     /// Where it begins in the file, in bytes.
-    pub at: u64,
+    pub offset: u64,
     /// How long it is, in bytes.
     pub bytes: u64,
     /// What was wrong.
     pub damage: Damage,
     /// Records that are missing, if that is known.
-    pub records: Option<u32>,
+    pub lost_records: Option<u32>,
     /// Time of the last record before it and of the first after it, in Unix microseconds, where there are such.
     pub between_us: (Option<u64>, Option<u64>),
 }
@@ -38,11 +38,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Block {
     /// Its head.
-    pub head: BlockHead,
+    pub header: BlockHeader,
     /// Its records.
     pub records: Vec<Record>,
     /// Records in it that this program does not know.
-    pub unknown: u32,
+    pub unknown_records: u32,
 }
 
 /// What comes next in a file.
@@ -60,7 +60,7 @@
     from: R,
     length: u64,
     at: u64,
-    head: Option<Head>,
+    head: Option<FileHeader>,
     last_us: Option<u64>,
     /// A gap that is told once the block behind it is known, and that block.
     gap: Option<Gap>,
@@ -90,7 +90,7 @@
     ///
     /// # Errors
     /// If it is empty, no record file, or of a version not known ([`FormatError`] inside), or cannot be read at all.
-    /// A damaged head is no error: [`FileReader::head`] is then `None`, and the blocks behind it are read.
+    /// A damaged head is no error: [`FileReader::header`] is then `None`, and the blocks behind it are read.
     pub fn open(mut from: R) -> io::Result<Self> {
         let length = from.seek(SeekFrom::End(0))?;
         from.seek(SeekFrom::Start(0))?;
@@ -99,17 +99,17 @@
         let wrong = |error: FormatError| Err(io::Error::new(ErrorKind::InvalidData, error));
         match (got, prefix.split_at(MAGIC.len())) {
             (0, _) => return wrong(FormatError::Empty),
-            (PREFIX, (magic, [1..=VERSION])) if magic == MAGIC => {}
+            (PREFIX, (magic, [1..=FORMAT_VERSION])) if magic == MAGIC => {}
             (PREFIX, (magic, [version])) if magic == MAGIC => {
-                return wrong(FormatError::UnknownVersion(*version));
+                return wrong(FormatError::UnsupportedVersion(*version));
             }
-            _ => return wrong(FormatError::NotRecords),
+            _ => return wrong(FormatError::NotRecordFile),
         }
         let window_us = (0, u64::MAX);
         let (at, head, last_us, gap, block) = (PREFIX as u64, None, None, None, None);
         let mut reader = Self { from, length, at, head, last_us, gap, block, cut_at: None, window_us };
         if let Some((head, body)) = reader.whole_block()?
-            && head.kind == BlockKind::Head
+            && head.kind == BlockKind::FileHeader
         {
             reader.head =
                 format::open_body(&head, &body).ok().and_then(|raw| postcard::from_bytes(&raw).ok());
@@ -119,7 +119,7 @@
     }
 
     /// Whose records these are; `None` if that part is damaged.
-    pub fn head(&self) -> Option<&Head> {
+    pub fn header(&self) -> Option<&FileHeader> {
         self.head.as_ref()
     }
 
@@ -128,7 +128,7 @@
     ///
     /// # Errors
     /// Of the system.
-    pub fn seek(&mut self, from_us: u64, to_us: u64) -> io::Result<()> {
+    pub fn select_time_range(&mut self, from_us: u64, to_us: u64) -> io::Result<()> {
         self.window_us = (from_us, to_us);
         let Some(places) = self.index()? else { return Ok(()) };
         let first = places.iter().find(|place| place.last_us >= from_us);
@@ -144,7 +144,7 @@
     ///
     /// # Errors
     /// Of the system.
-    pub fn times(&mut self) -> io::Result<Option<(u64, u64)>> {
+    pub fn time_range(&mut self) -> io::Result<Option<(u64, u64)>> {
         let places = self.places()?;
         let first = places.iter().map(|place| place.first_us).min();
         Ok(first.zip(places.iter().map(|place| place.last_us).max()))
@@ -154,7 +154,7 @@
     ///
     /// # Errors
     /// Of the system.
-    pub fn count(&mut self) -> io::Result<u64> {
+    pub fn record_count(&mut self) -> io::Result<u64> {
         Ok(self.places()?.iter().map(|place| u64::from(place.count)).sum())
     }
 
@@ -167,10 +167,10 @@
         let mut places = Vec::new();
         while let Some(head) = self.next_head()? {
             if head.kind == BlockKind::Records {
-                let BlockHead { count, first_us, last_us, .. } = head;
+                let BlockHeader { record_count: count, first_us, last_us, .. } = head;
                 places.push(Place { at: self.at, count, first_us, last_us });
             }
-            self.at += BLOCK_HEAD as u64 + u64::from(head.body);
+            self.at += BLOCK_HEAD as u64 + u64::from(head.body_bytes);
         }
         self.at = at;
         Ok(places)
@@ -196,15 +196,15 @@
     }
 
     /// The head at the present place.
-    fn head_here(&mut self) -> io::Result<Option<BlockHead>> {
+    fn head_here(&mut self) -> io::Result<Option<BlockHeader>> {
         let mut bytes = [0; BLOCK_HEAD];
         self.from.seek(SeekFrom::Start(self.at))?;
         let got = fill(&mut self.from, &mut bytes)?;
-        Ok((got == BLOCK_HEAD).then(|| BlockHead::read(&bytes)).flatten())
+        Ok((got == BLOCK_HEAD).then(|| BlockHeader::read(&bytes)).flatten())
     }
 
     /// Moves to the next head that is whole, from the present place on.
-    fn next_head(&mut self) -> io::Result<Option<BlockHead>> {
+    fn next_head(&mut self) -> io::Result<Option<BlockHeader>> {
         loop {
             if let Some(head) = self.head_here()? {
                 return Ok(Some(head));
@@ -231,18 +231,19 @@
         }
     }
 
-    /// Head and body at the present place, if both are whole.
-    fn whole_block(&mut self) -> io::Result<Option<(BlockHead, Vec<u8>)>> {
+    /// FileHeader and body at the present place, if both are whole.
+    fn whole_block(&mut self) -> io::Result<Option<(BlockHeader, Vec<u8>)>> {
         let Some(head) = self.head_here()? else { return Ok(None) };
         Ok(self.body_of(&head)?.map(|body| (head, body)))
     }
 
     /// The body behind a head at the present place. Its length was bounded when the head was read.
-    fn body_of(&mut self, head: &BlockHead) -> io::Result<Option<Vec<u8>>> {
-        debug_assert!(head.body as usize <= LARGEST_BODY);
-        let mut body = vec![0; head.body as usize];
+    fn body_of(&mut self, head: &BlockHeader) -> io::Result<Option<Vec<u8>>> {
+        debug_assert!(head.body_bytes as usize <= LARGEST_BODY);
+        let mut body = vec![0; head.body_bytes as usize];
         self.from.seek(SeekFrom::Start(self.at + BLOCK_HEAD as u64))?;
-        let whole = fill(&mut self.from, &mut body)? == body.len() && crc32fast::hash(&body) == head.crc;
+        let whole =
+            fill(&mut self.from, &mut body)? == body.len() && crc32fast::hash(&body) == head.body_crc32;
         Ok(whole.then_some(body))
     }
 
@@ -262,7 +263,7 @@
             if self.at > begin {
                 self.note_gap(begin, self.at - begin, Damage::Head, None);
             }
-            let whole = BLOCK_HEAD as u64 + u64::from(head.body);
+            let whole = BLOCK_HEAD as u64 + u64::from(head.body_bytes);
             let wanted = head.kind == BlockKind::Context
                 || (head.kind == BlockKind::Records
                     && head.last_us >= self.window_us.0
@@ -287,12 +288,12 @@
                 format::take_records(&raw, head.first_us).ok()
             });
             let Some((records, unknown)) = read else {
-                self.note_gap(self.at, whole, Damage::Body, Some(head.count));
+                self.note_gap(self.at, whole, Damage::Body, Some(head.record_count));
                 self.at += whole;
                 continue;
             };
             self.at += whole;
-            let block = Block { head, records, unknown };
+            let block = Block { header: head, records, unknown_records: unknown };
             let before = self.last_us;
             if head.kind == BlockKind::Records {
                 self.last_us = Some(head.last_us);
@@ -309,9 +310,10 @@
     /// Joins damage to a gap that is open.
     fn note_gap(&mut self, at: u64, bytes: u64, damage: Damage, records: Option<u32>) {
         let between_us = (self.last_us, None);
-        let gap = self.gap.get_or_insert(Gap { at, bytes: 0, damage, records: Some(0), between_us });
+        let gap =
+            self.gap.get_or_insert(Gap { offset: at, bytes: 0, damage, lost_records: Some(0), between_us });
         gap.bytes += bytes;
-        gap.records = gap.records.zip(records).map(|(all, more)| all.saturating_add(more));
+        gap.lost_records = gap.lost_records.zip(records).map(|(all, more)| all.saturating_add(more));
     }
 
     /// The end has come; whatever lies behind this place is no whole block.
@@ -329,7 +331,7 @@
     ///
     /// # Errors
     /// Of the system.
-    pub fn look_again(&mut self) -> io::Result<bool> {
+    pub fn refresh(&mut self) -> io::Result<bool> {
         let length = self.from.seek(SeekFrom::End(0))?;
         let grown = length > self.length;
         self.length = length;
--- a/crates/record/src/recorder.rs
+++ b/crates/record/src/recorder.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 
 use crate::event::{Event, ListedReadiness, Record};
-use crate::format::Head;
+use crate::format::FileHeader;
 use crate::retention::{Retention, file_name};
 use crate::write::FileWriter;
 
@@ -27,27 +27,27 @@
 
 /// How records are kept.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Settings {
-    /// Folder for the files; it is made if it is not there.
+pub struct RecorderSettings {
+    /// DirectoryStorage for the files; it is made if it is not there.
     pub directory: PathBuf,
     /// A file is closed once it has so many bytes.
-    pub file_bytes: u64,
+    pub max_file_bytes: u64,
     /// A file is closed once it is this old.
-    pub file_age: Duration,
+    pub max_file_age: Duration,
     /// All record files of the folder together may have so many bytes; the oldest go first.
     pub budget_bytes: u64,
     /// Records that may wait for the writer.
-    pub queue: usize,
+    pub max_queued_records: usize,
 }
 
-impl Default for Settings {
+impl Default for RecorderSettings {
     fn default() -> Self {
         Self {
             directory: PathBuf::from("records"),
-            file_bytes: 64 << 20,
-            file_age: Duration::from_secs(3_600),
+            max_file_bytes: 64 << 20,
+            max_file_age: Duration::from_secs(3_600),
             budget_bytes: 2 << 30,
-            queue: 16_384,
+            max_queued_records: 16_384,
         }
     }
 }
@@ -94,9 +94,9 @@
 
 /// A folder of the system.
 #[derive(Clone, Debug)]
-pub struct Folder(pub PathBuf);
+pub struct DirectoryStorage(pub PathBuf);
 
-impl Storage for Folder {
+impl Storage for DirectoryStorage {
     type File = BufWriter<File>;
 
     fn create(&mut self, name: &str) -> io::Result<Self::File> {
@@ -143,31 +143,31 @@
     /// # Errors
     /// If the first file or the thread cannot be had.
     pub fn start(
-        settings: Settings,
-        head: Head,
+        settings: RecorderSettings,
+        head: FileHeader,
         trouble: impl Fn(&RecorderError) + Send + 'static,
     ) -> Result<Self, RecorderError> {
-        let folder = Folder(settings.directory.clone());
-        Self::start_in(folder, settings, head, trouble)
+        let folder = DirectoryStorage(settings.directory.clone());
+        Self::start_with_storage(folder, settings, head, trouble)
     }
 
     /// The same with a storage of another kind.
     ///
     /// # Errors
     /// If the first file or the thread cannot be had.
-    pub fn start_in<S: Storage>(
+    pub fn start_with_storage<S: Storage>(
         storage: S,
-        settings: Settings,
-        head: Head,
+        settings: RecorderSettings,
+        head: FileHeader,
         trouble: impl Fn(&RecorderError) + Send + 'static,
     ) -> Result<Self, RecorderError> {
         let place = settings.directory.clone();
         let failing = move |error| RecorderError::Storage { place: place.clone(), error };
-        let (queue, records) = bounded(settings.queue.max(1));
+        let (queue, records) = bounded(settings.max_queued_records.max(1));
         let (stop, stopping) = bounded(1);
         let (ended, done) = bounded(1);
         let failed = Arc::new(AtomicBool::new(false));
-        let last_us = head.run_us;
+        let last_us = head.run_started_us;
         let mut writer = Writer::open(storage, settings, head).map_err(&failing)?;
         let has_failed = failed.clone();
         let work = move || {
@@ -202,22 +202,22 @@
     }
 
     /// Whether anything is still recorded.
-    pub fn works(&self) -> bool {
+    pub fn is_recording(&self) -> bool {
         !self.failed.load(Ordering::Relaxed)
     }
 
     /// Has what waits written and the file closed in good order, for this long at most. Returns whether it was.
     pub fn stop(self, limit: Duration) -> bool {
         let _ = self.stop.try_send((self.lost, self.last_us));
-        self.done.recv_timeout(limit).is_ok() && self.works()
+        self.done.recv_timeout(limit).is_ok() && self.is_recording()
     }
 }
 
 /// The side of the thread.
 struct Writer<S: Storage> {
     storage: S,
-    settings: Settings,
-    head: Head,
+    settings: RecorderSettings,
+    head: FileHeader,
     file: Option<FileWriter<S::File>>,
     opened: Instant,
     flushed: Instant,
@@ -226,7 +226,7 @@
 }
 
 impl<S: Storage> Writer<S> {
-    fn open(mut storage: S, settings: Settings, head: Head) -> io::Result<Self> {
+    fn open(mut storage: S, settings: RecorderSettings, head: FileHeader) -> io::Result<Self> {
         let file = FileWriter::create(storage.create(&file_name(&head))?, &head)?;
         let now = Instant::now();
         let (file, context) = (Some(file), BTreeMap::new());
@@ -243,7 +243,7 @@
                 Err(error) => error.is_disconnected().then_some((0, 0)),
             };
             // No more than were there: whoever records without end must not keep the file from its turn.
-            for record in records.try_iter().take(self.settings.queue.max(1)) {
+            for record in records.try_iter().take(self.settings.max_queued_records.max(1)) {
                 self.write(&record)?;
             }
             if let Some((lost, at_us)) = order {
@@ -272,7 +272,7 @@
             file.push(record)?;
         }
         // Within a burst too: a file must not outgrow its size by all that waits. Its age is looked at between bursts.
-        let full = self.file.as_ref().is_some_and(|file| self.retention().is_full(file.written()));
+        let full = self.file.as_ref().is_some_and(|file| self.retention().is_full(file.written_bytes()));
         if full { self.rotate() } else { Ok(()) }
     }
 
@@ -296,22 +296,22 @@
 
     fn rotate_if_due(&mut self) -> io::Result<()> {
         let Some(file) = &self.file else { return Ok(()) };
-        let due = self.retention().is_due(file.written(), self.opened.elapsed());
+        let due = self.retention().is_due(file.written_bytes(), self.opened.elapsed());
         if due { self.rotate() } else { Ok(()) }
     }
 
     fn retention(&self) -> Retention {
-        let Settings { file_bytes, file_age, budget_bytes, .. } = self.settings;
-        Retention { file_bytes, file_age, budget_bytes }
+        let RecorderSettings { max_file_bytes, max_file_age, budget_bytes, .. } = self.settings;
+        Retention { max_file_bytes, max_file_age, budget_bytes }
     }
 
     fn rotate(&mut self) -> io::Result<()> {
         if let Some(file) = self.file.take() {
             file.finish()?.flush()?;
         }
-        self.head.file += 1;
+        self.head.file_number += 1;
         let mut file = FileWriter::create(self.storage.create(&file_name(&self.head))?, &self.head)?;
-        file.context(self.context.values())?;
+        file.write_context(self.context.values())?;
         self.file = Some(file);
         self.opened = Instant::now();
         self.make_room()
@@ -319,7 +319,7 @@
 
     /// Removes old files until what is there and the file that has begun fit into the budget.
     fn make_room(&mut self) -> io::Result<()> {
-        for name in self.retention().surplus(&self.storage.list()?) {
+        for name in self.retention().files_to_remove(&self.storage.list()?) {
             match self.storage.remove(&name) {
                 // Another softswitch that shares the folder was first.
                 Err(error) if error.kind() == io::ErrorKind::NotFound => {}
--- a/crates/record/src/write.rs
+++ b/crates/record/src/write.rs
@@ -3,7 +3,7 @@
 use std::io::{self, Write};
 
 use crate::event::Record;
-use crate::format::{self, BlockKind, FULL, Head, MAGIC, Place, TAIL, VERSION};
+use crate::format::{self, BlockKind, FORMAT_VERSION, FULL, FileHeader, MAGIC, Place, TAIL};
 
 /// Writes one file, block by block. What is pushed is on its way to the disk once [`FileWriter::flush`] is called or a
 /// block is full.
@@ -28,11 +28,14 @@
     ///
     /// # Errors
     /// Of the writer.
-    pub fn create(mut out: W, head: &Head) -> io::Result<Self> {
+    pub fn create(mut out: W, head: &FileHeader) -> io::Result<Self> {
         let mut start = MAGIC.to_vec();
-        start.push(VERSION);
+        start.push(FORMAT_VERSION);
         let raw = postcard::to_stdvec(head).map_err(io::Error::other)?;
-        start.extend(format::block(BlockKind::Head, 0, (head.run_us, head.run_us), &raw).map_err(failed)?);
+        start.extend(
+            format::block(BlockKind::FileHeader, 0, (head.run_started_us, head.run_started_us), &raw)
+                .map_err(failed)?,
+        );
         out.write_all(&start)?;
         out.flush()?;
         let (places, raw) = (Vec::new(), Vec::with_capacity(FULL + 1_024));
@@ -40,7 +43,7 @@
     }
 
     /// Bytes of the file so far, without what waits for its block to be full.
-    pub fn written(&self) -> u64 {
+    pub fn written_bytes(&self) -> u64 {
         self.at
     }
 
@@ -62,7 +65,7 @@
     ///
     /// # Errors
     /// Of the writer.
-    pub fn context<'a>(&mut self, records: impl Iterator<Item = &'a Record>) -> io::Result<()> {
+    pub fn write_context<'a>(&mut self, records: impl Iterator<Item = &'a Record>) -> io::Result<()> {
         self.flush()?;
         for record in records {
             self.push(record)?;
--- a/crates/record/tests/clocks.rs
+++ b/crates/record/tests/clocks.rs
@@ -6,10 +6,10 @@
 use std::path::PathBuf;
 
 use common::Draw;
-use swiftlb_record::clocks::{Bound, Bounds, Clocks, Sightings};
-use swiftlb_record::merge::{Merge, Told, What};
+use swiftlb_record::clocks::{Bound, BoundCollector, Bounds, ClockOffsets};
+use swiftlb_record::merge::{EntryContent, Merge, TimelineEntry};
 use swiftlb_record::{
-    Archive, CallUid, Damage, Event, FileWriter, Front, Head, Record, ReleasedBy, file_name,
+    Archive, CallUid, Damage, Event, FileHeader, FileWriter, Front, Record, ReleasedBy, file_name,
 };
 
 const START: u64 = 1_700_000_000_000_000;
@@ -83,14 +83,14 @@
     all
 }
 
-fn solve(nodes: usize, clocks: &[Clock], seed: u64) -> Clocks {
+fn solve(nodes: usize, clocks: &[Clock], seed: u64) -> ClockOffsets {
     let homes: Vec<Option<u32>> = (0..nodes as u32).map(Some).collect();
-    let mut sightings = Sightings::new(&homes);
+    let mut collector = BoundCollector::new(&homes);
     for (node, record) in world(nodes as u64, 4_000, seed) {
         let at_us = clocks[node].shows(record.at_us);
-        sightings.see(node, &Record { at_us, ..record });
+        collector.observe(node, &Record { at_us, ..record });
     }
-    sightings.bounds().solve(nodes)
+    collector.finish().solve(nodes)
 }
 
 fn clocks(nodes: usize, seed: u64) -> Vec<Clock> {
@@ -117,10 +117,10 @@
                 let true_offset = shown as i64 - truth[reference].shows(at) as i64;
                 let wrong = (offset.ahead_us - true_offset).abs();
                 assert!(
-                    wrong <= offset.uncertain_us,
+                    wrong <= offset.uncertainty_us,
                     "seed {seed}, {second} s, clock {i}: {wrong} of {offset:?}"
                 );
-                assert!(offset.uncertain_us < 25_000, "seed {seed}, {second} s, clock {i}: {offset:?}");
+                assert!(offset.uncertainty_us < 25_000, "seed {seed}, {second} s, clock {i}: {offset:?}");
             }
         }
     }
@@ -135,8 +135,8 @@
         let mut all = Vec::new();
         for _ in 0..60 {
             let (from, to) = (draw.below(6) as usize, draw.below(6) as usize);
-            let most_us = true_us[to] - true_us[from] + draw.below(30_000) as i64;
-            let bound = Bound { from, to, at_us: START, most_us };
+            let max_difference_us = true_us[to] - true_us[from] + draw.below(30_000) as i64;
+            let bound = Bound { from, to, at_us: START, max_difference_us };
             bounds.add(bound);
             all.push(bound);
         }
@@ -144,9 +144,9 @@
         assert_eq!(solved.contradictions, 0);
         // What one window allows for drift.
         let slack = 401;
-        for Bound { from, to, most_us, .. } in all {
+        for Bound { from, to, max_difference_us, .. } in all {
             if let Some((a, b)) = solved.offset(from, START).zip(solved.offset(to, START)) {
-                assert!(b.ahead_us - a.ahead_us <= most_us + slack);
+                assert!(b.ahead_us - a.ahead_us <= max_difference_us + slack);
             }
         }
     }
@@ -154,8 +154,12 @@
 
 #[test]
 fn clocks_that_share_no_call_are_not_tied_and_nonsense_is_left_out() {
-    let bound =
-        |from, to, window: u64, most_us| Bound { from, to, at_us: START + window * 2_000_000, most_us };
+    let bound = |from, to, window: u64, max_difference_us| Bound {
+        from,
+        to,
+        at_us: START + window * 2_000_000,
+        max_difference_us,
+    };
     let mut bounds = Bounds::default();
     for window in 0..30 {
         bounds.add(bound(0, 1, window, 90_000));
@@ -163,7 +167,7 @@
     }
     let solved = bounds.solve(4);
     let ahead = solved.offset(1, START + 30_000_000).expect("tied");
-    assert!((ahead.ahead_us - 80_000).abs() < 2_000 && ahead.uncertain_us < 12_000, "{ahead:?}");
+    assert!((ahead.ahead_us - 80_000).abs() < 2_000 && ahead.uncertainty_us < 12_000, "{ahead:?}");
     assert_eq!(
         (solved.offset(2, START), solved.correct(3, START)),
         (None, START),
@@ -188,8 +192,8 @@
     assert!(at(3).abs() < 3_000 && (at(27) - 500_000).abs() < 3_000, "{} {}", at(3), at(27));
     // Years apart: no memory for each second between.
     let mut far = Bounds::default();
-    far.add(Bound { from: 0, to: 1, at_us: 0, most_us: 1 });
-    far.add(Bound { from: 1, to: 0, at_us: u64::MAX / 2, most_us: 1 });
+    far.add(Bound { from: 0, to: 1, at_us: 0, max_difference_us: 1 });
+    far.add(Bound { from: 1, to: 0, at_us: u64::MAX / 2, max_difference_us: 1 });
     assert_eq!(far.solve(2).reference(), Some(0));
     assert_eq!(Bounds::default().solve(0).reference(), None);
 }
@@ -206,7 +210,10 @@
         for (run, keep) in [(0, true), (1, false)] {
             let first = |at: u64| (at < middle) == keep;
             let run_us = if keep { START } else { middle };
-            let head = Head { file: 0, ..Head::of(&format!("n{node}"), node as u32, clock.shows(run_us)) };
+            let head = FileHeader {
+                file_number: 0,
+                ..FileHeader::first_of_run(&format!("n{node}"), node as u32, clock.shows(run_us))
+            };
             let mut writer = FileWriter::create(Vec::new(), &head).expect("memory");
             let whole_run = node != 2 && run == 0;
             if node != 2 && run == 1 {
@@ -220,7 +227,7 @@
             let killed = node == 2 && run == 0;
             let bytes = if killed {
                 writer.flush().expect("memory");
-                let whole = writer.written() as usize;
+                let whole = writer.written_bytes() as usize;
                 let bytes = writer.finish().expect("memory");
                 bytes[..whole - 7].to_vec()
             } else {
@@ -242,16 +249,16 @@
         let (folder, true_times) = files(&format!("story-{seed}"), 4, &truth, seed);
         let merge = Merge::open(&Archive::open(std::slice::from_ref(&folder)), (0, u64::MAX));
         assert_eq!(merge.softswitches(), ["n0", "n1", "n2", "n3"]);
-        let reference = merge.clocks().reference().expect("there are some");
+        let reference = merge.clock_offsets().reference().expect("there are some");
         let mut merge = merge;
-        let told: Vec<Told> = merge.by_ref().collect();
+        let told: Vec<TimelineEntry> = merge.by_ref().collect();
         assert!(told.windows(2).all(|pair| pair[0].at_us <= pair[1].at_us), "in order");
         let mut sent: HashMap<(CallUid, u32), u64> = HashMap::new();
         let (mut pairs, mut events) = (0, 0);
         for one in &told {
-            let What::Event(event) = &one.what else { continue };
+            let EntryContent::Event(event) = &one.content else { continue };
             events += 1;
-            if let Some(true_us) = true_times.get(&(one.softswitch, one.own_us)) {
+            if let Some(true_us) = true_times.get(&(one.softswitch, one.local_us)) {
                 let wrong = one.at_us as i64 - truth[reference].shows(*true_us) as i64;
                 assert!(wrong.abs() < 30_000, "seed {seed}: {wrong} us off");
             }
@@ -271,8 +278,8 @@
         assert!(pairs > 300 && events > 5_000, "{pairs} pairs of {events} events");
         let ends: Vec<(usize, bool)> = told
             .iter()
-            .filter_map(|one| match one.what {
-                What::RunEnds { well } => Some((one.softswitch, well)),
+            .filter_map(|one| match one.content {
+                EntryContent::RunEnded { clean } => Some((one.softswitch, clean)),
                 _ => None,
             })
             .collect();
@@ -284,7 +291,7 @@
         );
         let cuts = told
             .iter()
-            .filter(|one| matches!(&one.what, What::Gap(gap) if gap.damage == Damage::Cut))
+            .filter(|one| matches!(&one.content, EntryContent::Gap(gap) if gap.damage == Damage::Cut))
             .count();
         assert_eq!(cuts, 1, "its last block is named as missing");
         std::fs::remove_dir_all(&folder).expect("it was there");
@@ -297,7 +304,8 @@
     let (folder, _) = files("window", 4, &truth, 9);
     let (from, to) = (START + 10_000_000, START + 12_000_000);
     let merge = Merge::open(&Archive::open(std::slice::from_ref(&folder)), (from, to));
-    let events: Vec<Told> = merge.filter(|one| matches!(one.what, What::Event(_))).collect();
-    assert!(events.len() > 100 && events.iter().all(|one| (from..=to).contains(&one.own_us)));
+    let events: Vec<TimelineEntry> =
+        merge.filter(|one| matches!(one.content, EntryContent::Event(_))).collect();
+    assert!(events.len() > 100 && events.iter().all(|one| (from..=to).contains(&one.local_us)));
     std::fs::remove_dir_all(&folder).expect("it was there");
 }
--- a/crates/record/tests/common/mod.rs
+++ b/crates/record/tests/common/mod.rs
@@ -6,7 +6,7 @@
 
 pub use draw::Draw;
 use swiftlb_record::{
-    AttemptOutcome, AttemptReason, CallUid, ConnectionChange, Event, FileWriter, Front, Head,
+    AttemptOutcome, AttemptReason, CallUid, ConnectionChange, Event, FileHeader, FileWriter, Front,
     ListedReadiness, Record, RefusalReason, ReleasedBy,
 };
 
@@ -96,14 +96,15 @@
 
 /// A file with blocks of so many records, and where each block ends. More than fill a block begin another.
 pub fn file_of(records: &[Record], block: usize) -> (Vec<u8>, Vec<u64>) {
-    let mut writer = FileWriter::create(Vec::new(), &Head::of("n0", 0, 1_000)).expect("memory");
+    let mut writer =
+        FileWriter::create(Vec::new(), &FileHeader::first_of_run("n0", 0, 1_000)).expect("memory");
     let mut ends = Vec::new();
     for part in records.chunks(block.min(records.len())) {
         for record in part {
             writer.push(record).expect("memory");
         }
         writer.flush().expect("memory");
-        ends.push(writer.written());
+        ends.push(writer.written_bytes());
     }
     (writer.finish().expect("memory"), ends)
 }
--- a/crates/record/tests/files.rs
+++ b/crates/record/tests/files.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use swiftlb_record::{
-    Block, BlockKind, Damage, Event, FileReader, FileWriter, FormatError, Gap, Head, Item, Record,
+    Block, BlockKind, Damage, Event, FileHeader, FileReader, FileWriter, FormatError, Gap, Item, Record,
 };
 
 fn read(bytes: &[u8]) -> (Vec<Block>, Vec<Gap>) {
@@ -40,10 +40,10 @@
     assert_eq!((all(&read), gaps), (written.clone(), vec![]));
     assert_eq!(read.len(), blocks.len());
     let mut reader = FileReader::open(Cursor::new(&file)).expect("a record file");
-    assert_eq!(reader.head(), Some(&Head::of("n0", 0, 1_000)));
-    assert_eq!(reader.count().expect("read"), written.len() as u64);
+    assert_eq!(reader.header(), Some(&FileHeader::first_of_run("n0", 0, 1_000)));
+    assert_eq!(reader.record_count().expect("read"), written.len() as u64);
     let times = written.iter().map(|r| r.at_us);
-    assert_eq!(reader.times().expect("read"), times.clone().min().zip(times.max()));
+    assert_eq!(reader.time_range().expect("read"), times.clone().min().zip(times.max()));
 }
 
 #[test]
@@ -55,11 +55,11 @@
     // With the index at the end of the file, and without it as after a crash.
     for bytes in [&file[..], &file[..cut]] {
         let mut reader = FileReader::open(Cursor::new(bytes)).expect("a record file");
-        reader.seek(from, to).expect("read");
+        reader.select_time_range(from, to).expect("read");
         let mut found = Vec::new();
         while let Some(item) = reader.next_item().expect("read") {
             if let Item::Block(block) = item {
-                assert!(block.head.last_us >= from && block.head.first_us <= to);
+                assert!(block.header.last_us >= from && block.header.first_us <= to);
                 found.extend(block.records);
             }
         }
@@ -84,7 +84,7 @@
         let clean = ends.contains(&cut) || cut >= file.len() - 12;
         assert_eq!(gaps.is_empty(), clean, "cut at {cut}: {gaps:?}");
         assert!(
-            gaps.iter().all(|gap| gap.damage == Damage::Cut && gap.at + gap.bytes == cut as u64),
+            gaps.iter().all(|gap| gap.damage == Damage::Cut && gap.offset + gap.bytes == cut as u64),
             "{gaps:?}"
         );
     }
@@ -126,9 +126,9 @@
         error.get_ref()?.downcast_ref::<FormatError>().cloned()
     };
     assert_eq!(error(b""), Some(FormatError::Empty));
-    assert_eq!(error(b"swl"), Some(FormatError::NotRecords));
-    assert_eq!(error(b"swlbrec\x00"), Some(FormatError::UnknownVersion(0)));
-    assert_eq!(error(b"swlbrec\x02 and more"), Some(FormatError::UnknownVersion(2)));
+    assert_eq!(error(b"swl"), Some(FormatError::NotRecordFile));
+    assert_eq!(error(b"swlbrec\x00"), Some(FormatError::UnsupportedVersion(0)));
+    assert_eq!(error(b"swlbrec\x02 and more"), Some(FormatError::UnsupportedVersion(2)));
     runner(400)
         .run(&prop::collection::vec(any::<u8>(), 0..4_000), |garbage| {
             let _ = error(&garbage);
@@ -148,12 +148,13 @@
 #[test]
 fn a_file_is_read_while_it_is_written() {
     let written = records(300, 5);
-    let mut writer = FileWriter::create(Vec::new(), &Head::of("n0", 0, 1_000)).expect("memory");
-    let mut sizes = vec![writer.written() as usize];
+    let mut writer =
+        FileWriter::create(Vec::new(), &FileHeader::first_of_run("n0", 0, 1_000)).expect("memory");
+    let mut sizes = vec![writer.written_bytes() as usize];
     for part in written.chunks(100) {
         part.iter().for_each(|record| writer.push(record).expect("memory"));
         writer.flush().expect("memory");
-        sizes.push(writer.written() as usize);
+        sizes.push(writer.written_bytes() as usize);
     }
     let file = writer.finish().expect("memory");
     let path = std::env::temp_dir().join(format!("swiftlb-grow-{}.swr", std::process::id()));
@@ -174,9 +175,9 @@
         found.len()
     };
     assert_eq!(take(&mut reader), 100);
-    assert!(!reader.look_again().expect("read"), "nothing has come");
+    assert!(!reader.refresh().expect("read"), "nothing has come");
     std::fs::write(&path, &file[..sizes[3]]).expect("a file");
-    assert!(reader.look_again().expect("read"));
+    assert!(reader.refresh().expect("read"));
     assert_eq!(take(&mut reader), 300);
     assert_eq!((found, cuts), (written, 1));
     std::fs::remove_file(&path).expect("it was there");
@@ -204,11 +205,11 @@
         head.extend_from_slice(&crc32fast::hash(&head).to_le_bytes());
         [head, body].concat()
     };
-    let head = postcard::to_stdvec(&Head::of("n0", 0, 1)).expect("memory");
+    let head = postcard::to_stdvec(&FileHeader::first_of_run("n0", 0, 1)).expect("memory");
     let file = [&b"swlbrec\x01"[..], &block(0, 0, &head), &block(77, 1, b"?"), &block(1, 3, &raw)].concat();
     let (blocks, gaps) = read(&file);
     assert_eq!(gaps, vec![]);
-    assert_eq!((blocks.len(), blocks[0].unknown, blocks[0].head.kind), (1, 1, BlockKind::Records));
+    assert_eq!((blocks.len(), blocks[0].unknown_records, blocks[0].header.kind), (1, 1, BlockKind::Records));
     assert_eq!(blocks[0].records, vec![Record { at_us: 5_000, event: Event::Stopping }; 2]);
 }
 
--- a/crates/record/tests/recorder.rs
+++ b/crates/record/tests/recorder.rs
@@ -11,14 +11,14 @@
 use common::records;
 use crossbeam_channel::{Receiver, bounded, unbounded};
 use swiftlb_record::{
-    Archive, BlockKind, Event, FileReader, Head, Item, Record, Recorder, RecorderError, Settings, Storage,
-    file_name, parse_file_name, surplus,
+    Archive, BlockKind, Event, FileHeader, FileReader, Item, Record, Recorder, RecorderError,
+    RecorderSettings, Storage, file_name, files_to_remove, parse_file_name,
 };
 
 const PATIENCE: Duration = Duration::from_secs(10);
 
-fn settings(directory: PathBuf) -> Settings {
-    Settings { directory, ..Settings::default() }
+fn settings(directory: PathBuf) -> RecorderSettings {
+    RecorderSettings { directory, ..RecorderSettings::default() }
 }
 
 fn folder(name: &str) -> PathBuf {
@@ -35,7 +35,7 @@
             FileReader::open(std::fs::File::open(path).expect("it is there")).expect("a record file");
         while let Some(item) = reader.next_item().expect("read") {
             match item {
-                Item::Block(block) if block.head.kind == BlockKind::Context => contexts.push(block.records),
+                Item::Block(block) if block.header.kind == BlockKind::Context => contexts.push(block.records),
                 Item::Block(block) => all.extend(block.records),
                 Item::Gap(gap) => panic!("{gap:?}"),
             }
@@ -97,13 +97,17 @@
 fn what_is_recorded_is_in_the_files_in_order_with_the_context_in_each() {
     let folder = folder("rotate");
     let written = records(60_000, 11);
-    let settings = Settings { file_bytes: 100 << 10, queue: written.len(), ..settings(folder.clone()) };
-    let head = Head::of("n 0/x", 4, 1_700_000_000_000_000);
+    let settings = RecorderSettings {
+        max_file_bytes: 100 << 10,
+        max_queued_records: written.len(),
+        ..settings(folder.clone())
+    };
+    let head = FileHeader::first_of_run("n 0/x", 4, 1_700_000_000_000_000);
     let mut recorder = Recorder::start(settings, head, |error| panic!("{error}")).expect("it starts");
     written.iter().for_each(|record| recorder.record(record.clone()));
     assert!(recorder.stop(PATIENCE));
     let archive = Archive::open(std::slice::from_ref(&folder));
-    assert!(archive.troubles.is_empty() && archive.runs.len() == 1, "{archive:?}");
+    assert!(archive.file_errors.is_empty() && archive.runs.len() == 1, "{archive:?}");
     assert_eq!((archive.runs[0].softswitch.as_str(), archive.runs[0].home), ("n 0/x", Some(4)));
     let files = archive.runs[0].files.len();
     assert!(files > 5, "{files} files");
@@ -120,8 +124,11 @@
     let (open, gate) = unbounded();
     let files = Arc::default();
     let disk = Disk { files: Arc::clone(&files), gate: Some(gate), full_at: usize::MAX };
-    let settings = Settings { queue: 100, ..settings(PathBuf::from("nowhere")) };
-    let mut recorder = Recorder::start_in(disk, settings, Head::of("n0", 0, 1), |error| panic!("{error}"))
+    let settings = RecorderSettings { max_queued_records: 100, ..settings(PathBuf::from("nowhere")) };
+    let mut recorder =
+        Recorder::start_with_storage(disk, settings, FileHeader::first_of_run("n0", 0, 1), |error| {
+            panic!("{error}")
+        })
         .expect("it starts");
     let written = records(50_000, 12);
     // Nothing is written while the gate is shut: this comes back at once or never.
@@ -147,29 +154,31 @@
 
 #[test]
 fn a_full_disk_ends_recording_with_one_word_and_nothing_else() {
-    let troubles = Arc::new(AtomicUsize::new(0));
+    let file_errors = Arc::new(AtomicUsize::new(0));
     let (told, hears) = bounded(8);
     let disk = Disk { files: Arc::default(), gate: None, full_at: 40_000 };
-    let count = troubles.clone();
+    let count = file_errors.clone();
     let trouble = move |error: &RecorderError| {
         count.fetch_add(1, Ordering::SeqCst);
         told.send(error.to_string()).expect("it is heard");
     };
     let settings = settings(PathBuf::from("disk"));
-    let mut recorder = Recorder::start_in(disk, settings, Head::of("n0", 0, 1), trouble).expect("it starts");
+    let mut recorder =
+        Recorder::start_with_storage(disk, settings, FileHeader::first_of_run("n0", 0, 1), trouble)
+            .expect("it starts");
     records(20_000, 13).into_iter().for_each(|record| recorder.record(record));
     assert_eq!(hears.recv_timeout(PATIENCE).expect("a word"), "records in disk: no space left on device");
-    assert!(!recorder.works());
+    assert!(!recorder.is_recording());
     records(20_000, 14).into_iter().for_each(|record| recorder.record(record));
     assert!(!recorder.stop(PATIENCE));
-    assert_eq!(troubles.load(Ordering::SeqCst), 1);
+    assert_eq!(file_errors.load(Ordering::SeqCst), 1);
 }
 
 #[test]
 fn a_folder_that_cannot_be_used_shows_at_the_start() {
     let file = folder("file");
     std::fs::write(&file, "here").expect("a file");
-    let started = Recorder::start(settings(file.join("in it")), Head::of("n0", 0, 1), |_| {});
+    let started = Recorder::start(settings(file.join("in it")), FileHeader::first_of_run("n0", 0, 1), |_| {});
     let error = started.expect_err("a file is no folder").to_string();
     assert!(error.starts_with("records in "), "{error}");
     std::fs::remove_file(&file).expect("it was there");
@@ -177,8 +186,12 @@
 
 #[test]
 fn the_budget_takes_the_oldest_files_and_never_the_last_of_a_softswitch() {
-    let head =
-        |softswitch: &str, run_us, file| Head { softswitch: softswitch.to_owned(), home: None, run_us, file };
+    let head = |softswitch: &str, run_us, file| FileHeader {
+        softswitch: softswitch.to_owned(),
+        home: None,
+        run_started_us: run_us,
+        file_number: file,
+    };
     let file = |softswitch, run_us, n, size| (file_name(&head(softswitch, run_us, n)), size);
     let files = [
         file("n1", 5, 0, 10),
@@ -188,7 +201,7 @@
         ("notes.txt".to_owned(), 1_000),
         file("n0", 2, 7, 10),
     ];
-    let gone = |budget| surplus(&files, budget);
+    let gone = |budget| files_to_remove(&files, budget);
     assert!(gone(50).is_empty());
     assert_eq!(gone(40), [file("n0", 2, 7, 0).0]);
     assert_eq!(gone(39), [file("n0", 2, 7, 0).0, file("n0", 9, 0, 0).0]);
@@ -206,19 +219,21 @@
     let folder = folder("archive");
     for (name, run_us) in [("n0", 10), ("n1", 20), ("n0", 30)] {
         let recorder =
-            Recorder::start(settings(folder.clone()), Head::of(name, 0, run_us), |error| panic!("{error}"));
+            Recorder::start(settings(folder.clone()), FileHeader::first_of_run(name, 0, run_us), |error| {
+                panic!("{error}")
+            });
         assert!(recorder.expect("it starts").stop(PATIENCE));
     }
     std::fs::write(folder.join("n2-0000000000000001-000000.swr"), "").expect("a file");
     std::fs::write(folder.join("n3-0000000000000001-000000.swr"), b"swlbrec\x09").expect("a file");
     std::fs::write(folder.join("notes.txt"), "not ours").expect("a file");
     let archive = Archive::open(&[folder.clone(), folder.join("not there")]);
-    let runs: Vec<_> = archive.runs.iter().map(|run| (run.softswitch.as_str(), run.run_us)).collect();
+    let runs: Vec<_> = archive.runs.iter().map(|run| (run.softswitch.as_str(), run.started_us)).collect();
     assert_eq!(runs, [("n0", 10), ("n0", 30), ("n1", 20)]);
     assert_eq!(archive.softswitches(), ["n0", "n1"]);
-    let troubles: Vec<String> = archive.troubles.iter().map(ToString::to_string).collect();
-    assert_eq!(troubles.len(), 3, "{troubles:?}");
-    assert!(troubles.iter().any(|t| t.contains("n2-") && t.contains("empty file")));
-    assert!(troubles.iter().any(|t| t.contains("n3-") && t.contains("version 9")));
+    let file_errors: Vec<String> = archive.file_errors.iter().map(ToString::to_string).collect();
+    assert_eq!(file_errors.len(), 3, "{file_errors:?}");
+    assert!(file_errors.iter().any(|t| t.contains("n2-") && t.contains("empty file")));
+    assert!(file_errors.iter().any(|t| t.contains("n3-") && t.contains("version 9")));
     std::fs::remove_dir_all(&folder).expect("it was there");
 }
--- a/crates/report/examples/hour.rs
+++ b/crates/report/examples/hour.rs
@@ -16,7 +16,8 @@
 
 use draw::Draw;
 use swiftlb_record::{
-    CallUid, ConnectionChange, Event, FileWriter, Front, Head, ListedReadiness, Record, ReleasedBy, file_name,
+    CallUid, ConnectionChange, Event, FileHeader, FileWriter, Front, ListedReadiness, Record, ReleasedBy,
+    file_name,
 };
 
 const NODES: u64 = 7;
@@ -32,7 +33,7 @@
     let mut draw = Draw(1);
     let mut files = Vec::new();
     for node in 0..NODES {
-        let head = Head::of(&format!("n{node}"), node as u32, START);
+        let head = FileHeader::first_of_run(&format!("n{node}"), node as u32, START);
         files.push(FileWriter::create(BufWriter::new(File::create(folder.join(file_name(&head)))?), &head)?);
     }
     // Records wait here until their second is over, so that each file is in order.
@@ -117,7 +118,7 @@
     for (node, mut file) in files.into_iter().enumerate() {
         file.push(&Record { at_us: START + seconds * 1_000_000, event: Event::Stopped })?;
         file.flush()?;
-        bytes += file.written();
+        bytes += file.written_bytes();
         let _ = (node, file.finish()?);
     }
     println!("{written} records, {bytes} bytes, {:.1} bytes a call", bytes as f64 / (seconds * rate) as f64);
--- a/crates/report/src/incident/mod.rs
+++ b/crates/report/src/incident/mod.rs
@@ -12,7 +12,7 @@
 
 use std::collections::BTreeMap;
 
-use swiftlb_record::merge::{Told, What};
+use swiftlb_record::merge::{EntryContent, TimelineEntry};
 use swiftlb_record::{DrainSource, Event};
 
 use cost::Ledger;
@@ -179,27 +179,27 @@
     }
 
     /// Takes the next of the story.
-    pub fn see(&mut self, told: &Told) {
+    pub fn see(&mut self, told: &TimelineEntry) {
         self.last_us = self.last_us.max(told.at_us);
         if self.last_us >= self.ticked_us + TICK_US {
             self.ticked_us = self.last_us;
             self.tick();
         }
         let (at, who) = (told.at_us, told.softswitch);
-        match &told.what {
-            What::Context(_) => {}
-            What::Gap(gap) => {
+        match &told.content {
+            EntryContent::Context(_) => {}
+            EntryContent::Gap(gap) => {
                 let lost =
-                    gap.records.map_or("an unknown number of".to_owned(), |records| records.to_string());
+                    gap.lost_records.map_or("an unknown number of".to_owned(), |records| records.to_string());
                 let detail = format!("{lost} records are missing: {} bytes are {:?}", gap.bytes, gap.damage);
                 self.line(at, Some(who), "gap", None, detail.to_lowercase());
             }
-            What::RunEnds { well: true } => self.running[who] = false,
-            What::RunEnds { well: false } => {
+            EntryContent::RunEnded { clean: true } => self.running[who] = false,
+            EntryContent::RunEnded { clean: false } => {
                 self.running[who] = false;
                 self.ended.insert(who, at);
             }
-            What::Event(event) => self.see_event(at, who, event),
+            EntryContent::Event(event) => self.see_event(at, who, event),
         }
     }
 
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -13,7 +13,7 @@
 use std::fmt::Write;
 
 use hdrhistogram::Histogram;
-use swiftlb_record::merge::{Merge, Told, What};
+use swiftlb_record::merge::{EntryContent, Merge, TimelineEntry};
 use swiftlb_record::{Archive, AttemptOutcome, AttemptReason, Event, FailureReason, RefusalReason};
 use tinyjson::JsonValue;
 
@@ -153,11 +153,11 @@
     pub fn build(archive: &Archive, window_us: (u64, u64), mut progress: impl FnMut(u64)) -> Self {
         let mut merge = Merge::open(archive, window_us);
         let names = merge.softswitches().to_vec();
-        let mut detector = Detector::new(merge.homes());
+        let mut detector = Detector::new(merge.home_exchanges());
         let mut report = Self {
             clocks: Vec::new(),
-            reference: merge.clocks().reference().map(|place| names[place].clone()),
-            contradictions: merge.clocks().contradictions,
+            reference: merge.clock_offsets().reference().map(|place| names[place].clone()),
+            contradictions: merge.clock_offsets().contradictions,
             span_us: (u64::MAX, 0),
             records: 0,
             classes: Vec::new(),
@@ -166,7 +166,7 @@
             refusals: BTreeMap::new(),
             series: Series::new(),
             course: Course::default(),
-            troubles: archive.troubles.iter().map(ToString::to_string).collect(),
+            troubles: archive.file_errors.iter().map(ToString::to_string).collect(),
             softswitches: names,
         };
         let mut calls = Calls::default();
@@ -180,13 +180,13 @@
             }
         }
         report.course = detector.finish();
-        report.troubles.extend(merge.troubles().iter().map(ToString::to_string));
+        report.troubles.extend(merge.file_errors().iter().map(ToString::to_string));
         let middle = report.span_us.0.midpoint(report.span_us.1);
         report.clocks = (0..report.softswitches.len())
             .map(|i| ClockFigures {
                 softswitch: report.softswitches[i].clone(),
-                ahead_us: merge.clocks().offset(i, middle).map(|offset| offset.ahead_us),
-                uncertain_us: merge.clocks().worst(i).map(|offset| offset.uncertain_us),
+                ahead_us: merge.clock_offsets().offset(i, middle).map(|offset| offset.ahead_us),
+                uncertain_us: merge.clock_offsets().most_uncertain(i).map(|offset| offset.uncertainty_us),
             })
             .collect();
         report
@@ -205,16 +205,16 @@
         self.classes.len() - 1
     }
 
-    fn see(&mut self, told: &Told, calls: &mut Calls, places: &mut BTreeMap<usize, Vec<usize>>) {
+    fn see(&mut self, told: &TimelineEntry, calls: &mut Calls, places: &mut BTreeMap<usize, Vec<usize>>) {
         let (at, who) = (told.at_us, told.softswitch);
-        let event = match &told.what {
-            What::Event(event) => {
+        let event = match &told.content {
+            EntryContent::Event(event) => {
                 self.records += 1;
                 self.span_us = (self.span_us.0.min(at), self.span_us.1.max(at));
                 event
             }
-            What::Context(event) => event,
-            What::Gap(_) | What::RunEnds { .. } => return,
+            EntryContent::Context(event) => event,
+            EntryContent::Gap(_) | EntryContent::RunEnded { .. } => return,
         };
         if let Event::Classes(names) = event {
             let known = names.iter().map(|name| self.class(name)).collect();
--- a/crates/report/tests/service.rs
+++ b/crates/report/tests/service.rs
@@ -1,6 +1,6 @@
 //! Load and its consequences: circuits that run out, calls that are shed, and what came of what.
 
-use swiftlb_record::merge::{Told, What};
+use swiftlb_record::merge::{EntryContent, TimelineEntry};
 use swiftlb_record::{CallUid, ConnectionChange, Event, Front, ListedReadiness, RefusalReason};
 use swiftlb_report::incident::episode::{group, link};
 use swiftlb_report::incident::{Cost, Course, Detector, Incident, Kind};
@@ -28,7 +28,12 @@
 
     fn tell(&mut self, ms: u64, softswitch: usize, event: Event) {
         let at_us = START + ms * 1_000;
-        self.detector.see(&Told { at_us, own_us: at_us, softswitch, what: What::Event(event) });
+        self.detector.see(&TimelineEntry {
+            at_us,
+            local_us: at_us,
+            softswitch,
+            content: EntryContent::Event(event),
+        });
     }
 
     /// A call to node 3 that stands, or is refused for this reason.
--- a/src/edge.rs
+++ b/src/edge.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime};
 
-use swiftlb_record::Settings as RecordSettings;
+use swiftlb_record::RecorderSettings;
 use thiserror::Error;
 use tinyjson::JsonValue;
 
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Edge {
     /// Records of calls and decisions.
-    pub records: Option<RecordSettings>,
+    pub records: Option<RecorderSettings>,
     /// What this softswitch knows of the fleet is told to consoles, at `/edge/fleet` of the operators' door.
     pub fleet: bool,
     /// For rehearsals: a clock that is off.
@@ -134,22 +134,22 @@
     }
 }
 
-fn read_records(section: &Section<'_>) -> Result<Option<RecordSettings>, EdgeError> {
+fn read_records(section: &Section<'_>) -> Result<Option<RecorderSettings>, EdgeError> {
     section.knows(&["enabled", "directory", "file_mb", "file_minutes", "budget_mb", "queue"])?;
-    let usual = RecordSettings::default();
+    let usual = RecorderSettings::default();
     let enabled = section.flag("enabled")?;
-    let file_mb = section.whole("file_mb", 1..=1_024, usual.file_bytes >> 20)?;
-    let minutes = section.whole("file_minutes", 1..=1_440, usual.file_age.as_secs() / 60)?;
+    let file_mb = section.whole("file_mb", 1..=1_024, usual.max_file_bytes >> 20)?;
+    let minutes = section.whole("file_minutes", 1..=1_440, usual.max_file_age.as_secs() / 60)?;
     // Less than two files could never hold the one that is written and the one before.
     let least = 2 * file_mb;
     let budget_mb = section.whole("budget_mb", least..=1 << 20, (usual.budget_bytes >> 20).max(least))?;
-    let queue = section.whole("queue", 64..=1 << 20, usual.queue as u64)?;
-    let settings = RecordSettings {
+    let queue = section.whole("queue", 64..=1 << 20, usual.max_queued_records as u64)?;
+    let settings = RecorderSettings {
         directory: section.text("directory")?.map_or(usual.directory, PathBuf::from),
-        file_bytes: file_mb << 20,
-        file_age: Duration::from_secs(60 * minutes),
+        max_file_bytes: file_mb << 20,
+        max_file_age: Duration::from_secs(60 * minutes),
         budget_bytes: budget_mb << 20,
-        queue: queue as usize,
+        max_queued_records: queue as usize,
     };
     Ok(enabled.then_some(settings))
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -13,7 +13,7 @@
 
 use crossbeam_channel::{Receiver, SendError, Sender, bounded};
 use mio::{Events, Poll, Waker};
-use swiftlb_record::{Head, Recorder, RecorderError};
+use swiftlb_record::{FileHeader, Recorder, RecorderError};
 use thiserror::Error;
 
 use crate::config::Config;
@@ -333,8 +333,13 @@
 /// Begins to keep records, where that is switched on. What ends them later is a line of the log and no more.
 fn start_recorder(config: &Config, edge: &Edge, now: SystemTime) -> Result<Option<Recorder>, ServeError> {
     let Some(settings) = edge.records.clone() else { return Ok(None) };
-    let run_us = now.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
-    let head = Head { softswitch: config.name.clone(), home: config.settings.home, run_us, file: 0 };
+    let run_started_us = now.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
+    let head = FileHeader {
+        softswitch: config.name.clone(),
+        home: config.settings.home,
+        run_started_us,
+        file_number: 0,
+    };
     tracing::info!(directory = %settings.directory.display(), "records");
     let trouble = |error: &RecorderError| tracing::error!(%error, "recording has stopped");
     Ok(Some(Recorder::start(settings, head, trouble)?))
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -339,7 +339,7 @@
 
 fn read(folder: &Path) -> (Vec<Record>, Vec<Damage>) {
     let archive = Archive::open(&[folder.to_owned()]);
-    assert!(archive.troubles.is_empty(), "{archive:?}");
+    assert!(archive.file_errors.is_empty(), "{archive:?}");
     let (mut records, mut damage) = (Vec::new(), Vec::new());
     for file in archive.runs.iter().flat_map(|run| &run.files) {
         let mut reader =
