--- a/crates/planner/examples/size.rs
+++ b/crates/planner/examples/size.rs
@@ -1,16 +1,16 @@
 //! How long the solver takes by size, and how much it leaves: `cargo run --release -p swiftlb-planner --example size -- N`.
 
-#[path = "../../../tests/common/draw.rs"]
-mod draw;
+#[path = "../../../tests/common/rng.rs"]
+mod rng;
 
 use std::time::Instant;
 
-use draw::Draw;
+use rng::SplitMix64;
 use swiftlb_planner::{Network, solve};
 
 /// A full mesh whose groups were sized for a plan that the demand misses by up to 60% either way.
 fn network(nodes: u64, seed: u64) -> String {
-    let mut draw = Draw(seed);
+    let mut draw = SplitMix64(seed);
     let regions = ["wien", "linz", "graz"];
     let exchanges: Vec<String> =
         (0..nodes).map(|n| format!(r#"{{"number":{n},"region":"{}"}}"#, regions[(n % 3) as usize])).collect();
--- a/crates/planner/tests/solver.rs
+++ b/crates/planner/tests/solver.rs
@@ -1,18 +1,18 @@
 //! The solver against the search that tries every plan. The two share no model: only the network and the weighing.
 
-#[path = "../../../tests/common/draw.rs"]
-mod draw;
+#[path = "../../../tests/common/rng.rs"]
+mod rng;
 
 use std::time::{Duration, Instant};
 
-use draw::Draw;
+use rng::SplitMix64;
 use swiftlb_planner::clash::{self, Claim};
 use swiftlb_planner::{Network, check, exhaustive, solve};
 
 /// A network of 3 to 6 exchanges in up to 3 regions, small enough to try every plan: few demands of few circuits, many
 /// equal worths and costs, so that ties are common; groups of nothing and pairs without a group.
 fn network(seed: u64) -> String {
-    let mut draw = Draw(seed);
+    let mut draw = SplitMix64(seed);
     let nodes = 3 + draw.below(4);
     let regions = 1 + draw.below(3);
     let names = ["wien", "linz", "graz"];
--- a/crates/record/tests/clocks.rs
+++ b/crates/record/tests/clocks.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::path::PathBuf;
 
-use common::Draw;
+use common::SplitMix64;
 use swiftlb_record::clocks::{Bound, Bounds, Clocks, Sightings};
 use swiftlb_record::merge::{Merge, Told, What};
 use swiftlb_record::{
@@ -29,13 +29,13 @@
 
 /// Calls in transit and direct ones between so many nodes, each with true times, by the node that records it.
 fn world(nodes: u64, calls: u64, seed: u64) -> Vec<(usize, Record)> {
-    let mut draw = Draw(seed);
+    let mut draw = SplitMix64(seed);
     let mut all = Vec::new();
     for i in 0..calls {
-        let call = CallUid(draw.next());
+        let call = CallUid(draw.next_u64());
         let begin = START + 1_000_000 + i * 25_000 + draw.below(20_000);
         let origin = draw.below(nodes);
-        let other = |draw: &mut Draw, not: u64| (not + 1 + draw.below(nodes - 1)) % nodes;
+        let other = |draw: &mut SplitMix64, not: u64| (not + 1 + draw.below(nodes - 1)) % nodes;
         let tandem = other(&mut draw, origin);
         let set_up = |dest: u64, transit_from: Option<u64>| {
             let (dest, transit_from) = (dest as u32, transit_from.map(|n| n as u32));
@@ -94,7 +94,7 @@
 }
 
 fn clocks(nodes: usize, seed: u64) -> Vec<Clock> {
-    let mut draw = Draw(seed ^ 0xabc);
+    let mut draw = SplitMix64(seed ^ 0xabc);
     let clock = |i: usize| Clock {
         ahead_us: if i == 1 { 80_000 } else { draw.below(160_000) as i64 - 80_000 },
         ppm: draw.below(200) as i64 - 100,
@@ -128,7 +128,7 @@
 
 #[test]
 fn all_bounds_hold_at_once_after_correction() {
-    let mut draw = Draw(3);
+    let mut draw = SplitMix64(3);
     for _ in 0..50 {
         let true_us: Vec<i64> = (0..6).map(|_| draw.below(200_000) as i64 - 100_000).collect();
         let mut bounds = Bounds::default();
--- a/crates/record/tests/common/mod.rs
+++ b/crates/record/tests/common/mod.rs
@@ -1,10 +1,10 @@
 //! Records drawn from a seed.
 #![allow(dead_code)]
 
-#[path = "../../../../tests/common/draw.rs"]
-mod draw;
+#[path = "../../../../tests/common/rng.rs"]
+mod rng;
 
-pub use draw::Draw;
+pub use rng::SplitMix64;
 use swiftlb_record::{
     AttemptOutcome, AttemptReason, CallUid, ConnectionChange, Event, FileWriter, Front, Head,
     ListedReadiness, Record, RefusalReason, ReleasedBy,
@@ -12,12 +12,12 @@
 
 /// Records of all kinds, in the order of their times.
 pub fn records(count: usize, seed: u64) -> Vec<Record> {
-    let mut draw = Draw(seed);
+    let mut draw = SplitMix64(seed);
     let mut at_us = 1_700_000_000_000_000;
     let mut all = Vec::with_capacity(count);
     for _ in 0..count {
         at_us += draw.below(4_000);
-        let (call, exchange) = (CallUid(draw.next()), draw.below(9) as u32);
+        let (call, exchange) = (CallUid(draw.next_u64()), draw.below(9) as u32);
         let elapsed_us = draw.below(1 << 40);
         let event = match draw.below(14) {
             0 => {
@@ -66,10 +66,10 @@
 
 /// Plain calls at 61 a second: how many, and what is recorded of them.
 pub fn load(calls: usize) -> (usize, Vec<Record>) {
-    let mut draw = Draw(9);
+    let mut draw = SplitMix64(9);
     let mut all = Vec::new();
     for i in 0..calls as u64 {
-        let (call, exchange) = (CallUid(draw.next()), draw.below(7) as u32);
+        let (call, exchange) = (CallUid(draw.next_u64()), draw.below(7) as u32);
         let begin = 1_700_000_000_000_000 + i * 16_400 + draw.below(16_000);
         let answer = begin + 40_000 + draw.below(60_000);
         let end = answer + 5_000_000 + draw.below(9_000_000);
--- a/crates/report/examples/hour.rs
+++ b/crates/report/examples/hour.rs
@@ -7,14 +7,14 @@
 //!
 //! Usually one hour at 61 calls a second; 12,000 s at 140 a second are some 10 million records.
 
-#[path = "../../../tests/common/draw.rs"]
-mod draw;
+#[path = "../../../tests/common/rng.rs"]
+mod rng;
 
 use std::fs::File;
 use std::io::BufWriter;
 use std::path::PathBuf;
 
-use draw::Draw;
+use rng::SplitMix64;
 use swiftlb_record::{
     CallUid, ConnectionChange, Event, FileWriter, Front, Head, ListedReadiness, Record, ReleasedBy, file_name,
 };
@@ -29,7 +29,7 @@
     let seconds = number(words.next(), 3_600);
     let rate = number(words.next(), 61);
     std::fs::create_dir_all(&folder)?;
-    let mut draw = Draw(1);
+    let mut draw = SplitMix64(1);
     let mut files = Vec::new();
     for node in 0..NODES {
         let head = Head::of(&format!("n{node}"), node as u32, START);
@@ -70,7 +70,7 @@
             };
             let attempt =
                 |to: u64| Event::Attempt { call, attempt: 1, exchange: to as u32, awaits_connection: false };
-            let group = |draw: &mut Draw, to: u64| Event::Group {
+            let group = |draw: &mut SplitMix64, to: u64| Event::Group {
                 exchange: to as u32,
                 free: 20 + draw.below(60) as u32,
                 total: 137,
--- a/src/iax2/element.rs
+++ b/src/iax2/element.rs
@@ -17,13 +17,13 @@
 const CAUSE_CODE: u8 = 0x2a;
 
 /// The version of the protocol.
-pub const SPOKEN: u16 = 2;
+pub const PROTOCOL_VERSION: u16 = 2;
 /// G.711 mu-law and A-law: what is offered where nobody says what is wanted.
-pub const G711: u32 = 0x0c;
+pub const G711_FORMATS: u32 = 0x0c;
 
 /// The elements that mean something here; others are passed over, as the specification asks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Elements {
+pub struct InformationElements {
     /// The number called.
     pub called_number: Option<String>,
     /// The caller's number.
@@ -44,17 +44,17 @@
     pub unknown: Option<u8>,
 }
 
-impl Elements {
+impl InformationElements {
     /// Reads the payload of a frame of the protocol itself. An element of a wrong length is passed over.
     ///
     /// # Errors
     /// If an element runs past the end.
-    pub fn read(mut bytes: &[u8]) -> Result<Self, FrameError> {
+    pub fn decode(mut bytes: &[u8]) -> Result<Self, FrameError> {
         let mut read = Self::default();
         while let [id, rest @ ..] = bytes {
-            let (length, rest) = rest.split_first().ok_or(FrameError::Element(*id))?;
+            let (length, rest) = rest.split_first().ok_or(FrameError::TruncatedElement(*id))?;
             let (value, rest) =
-                rest.split_at_checked(usize::from(*length)).ok_or(FrameError::Element(*id))?;
+                rest.split_at_checked(usize::from(*length)).ok_or(FrameError::TruncatedElement(*id))?;
             bytes = rest;
             let text = || String::from_utf8(value.to_vec()).ok();
             let four = || value.try_into().ok().map(u32::from_be_bytes);
@@ -76,7 +76,7 @@
     }
 
     /// Their bytes, the version first, as the specification asks of a set-up.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
         let mut put = |id: u8, value: Option<&[u8]>| {
             if let Some(value) = value.map(|v| &v[..v.len().min(255)]) {
@@ -97,7 +97,7 @@
     }
 
     /// Elements that say why a call ended.
-    pub fn of_cause(code: u8, cause: impl Into<String>) -> Self {
+    pub fn with_cause(code: u8, cause: impl Into<String>) -> Self {
         Self { cause_code: Some(code), cause: Some(cause.into()), ..Self::default() }
     }
 }
@@ -106,25 +106,25 @@
 const ADVICE: &str = "retry after ";
 
 /// What a caller is told at the end of a call: cause and words.
-pub fn cause_of(word: &CallerMessage) -> Elements {
+pub fn cause_elements(word: &CallerMessage) -> InformationElements {
     match word {
         CallerMessage::Refused { retry_after } if retry_after.is_zero() => {
-            Elements::of_cause(34, "no circuit")
+            InformationElements::with_cause(34, "no circuit")
         }
         CallerMessage::Refused { retry_after } => {
-            Elements::of_cause(34, format!("{ADVICE}{:.0} ms", millis(*retry_after)))
+            InformationElements::with_cause(34, format!("{ADVICE}{:.0} ms", millis(*retry_after)))
         }
-        CallerMessage::Failed { busy: true } => Elements::of_cause(17, "user busy"),
-        CallerMessage::Failed { busy: false } => Elements::of_cause(41, "temporary failure"),
-        CallerMessage::Released { cut: true } => Elements::of_cause(41, "call cut"),
+        CallerMessage::Failed { busy: true } => InformationElements::with_cause(17, "user busy"),
+        CallerMessage::Failed { busy: false } => InformationElements::with_cause(41, "temporary failure"),
+        CallerMessage::Released { cut: true } => InformationElements::with_cause(41, "call cut"),
         CallerMessage::Released { cut: false }
         | CallerMessage::Answered { .. }
-        | CallerMessage::HealthCheckResult { .. } => Elements::of_cause(16, "normal clearing"),
+        | CallerMessage::HealthCheckResult { .. } => InformationElements::with_cause(16, "normal clearing"),
     }
 }
 
 /// The advice in a CAUSE element.
-pub fn advice(cause: &str) -> Option<Duration> {
+pub fn parse_retry_after(cause: &str) -> Option<Duration> {
     let rest = &cause[cause.find(ADVICE)? + ADVICE.len()..];
     let digits = rest.split(|c: char| !c.is_ascii_digit()).next()?;
     digits.parse().ok().map(Duration::from_millis)
@@ -132,8 +132,8 @@
 
 /// What a node means by the end of a call, as on the platform's wire. A node that does not say why ended it
 /// normally.
-pub fn end_of(elements: &Elements) -> (Outcome, Reason) {
-    let wait = elements.cause.as_deref().and_then(advice);
+pub fn outcome_of(elements: &InformationElements) -> (Outcome, Reason) {
+    let wait = elements.cause.as_deref().and_then(parse_retry_after);
     match elements.cause_code.unwrap_or(16) {
         0 | 16 => (Outcome::Completed, Reason::Unspecified),
         17 => (Outcome::Busy, Reason::UserBusy),
--- a/src/iax2/frame.rs
+++ b/src/iax2/frame.rs
@@ -7,18 +7,18 @@
 pub enum FrameError {
     /// It ends before its header does.
     #[error("datagram of {0} bytes is too short")]
-    Short(usize),
+    TooShort(usize),
     /// A meta frame (trunk or video): not spoken here.
     #[error("meta frames are not spoken here")]
-    Meta,
+    MetaFrame,
     /// An information element runs past the end.
     #[error("information element {0:#04x} runs past the end of the frame")]
-    Element(u8),
+    TruncatedElement(u8),
 }
 
 /// Type of a full frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FrameType {
     /// A digit.
     Dtmf,
     /// Voice; the subclass is its format.
@@ -38,12 +38,12 @@
     /// HTML.
     Html,
     /// Comfort noise.
-    Noise,
+    ComfortNoise,
     /// Something later than the specification.
     Other(u8),
 }
 
-impl Kind {
+impl FrameType {
     fn from_code(code: u8) -> Self {
         match code {
             1 => Self::Dtmf,
@@ -55,7 +55,7 @@
             7 => Self::Text,
             8 => Self::Image,
             9 => Self::Html,
-            10 => Self::Noise,
+            10 => Self::ComfortNoise,
             other => Self::Other(other),
         }
     }
@@ -71,13 +71,13 @@
             Self::Text => 7,
             Self::Image => 8,
             Self::Html => 9,
-            Self::Noise => 10,
+            Self::ComfortNoise => 10,
             Self::Other(code) => code,
         }
     }
 }
 
-/// Subclasses of [`Kind::Control`].
+/// Subclasses of [`FrameType::Control`].
 pub mod control {
     /// The call is over.
     pub const HANGUP: u32 = 0x01;
@@ -95,7 +95,7 @@
     pub const PROCEEDING: u32 = 0x0f;
 }
 
-/// Subclasses of [`Kind::Iax`].
+/// Subclasses of [`FrameType::Iax`].
 pub mod iax {
     /// A set-up.
     pub const NEW: u32 = 0x01;
@@ -129,21 +129,21 @@
 
 /// A full frame: delivered in order and once.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Full {
+pub struct FullFrame {
     /// The sender's call number.
-    pub source: u16,
+    pub source_call: u16,
     /// The receiver's; 0 if not known yet.
-    pub dest: u16,
+    pub dest_call: u16,
     /// Sent again.
-    pub again: bool,
+    pub retransmitted: bool,
     /// Milliseconds of the sender's call.
     pub timestamp: u32,
     /// Its sequence number.
-    pub oseq: u8,
+    pub oseqno: u8,
     /// The next one that its sender expects.
-    pub iseq: u8,
+    pub iseqno: u8,
     /// Type.
-    pub kind: Kind,
+    pub frame_type: FrameType,
     /// Subclass.
     pub subclass: u32,
     /// All that follows.
@@ -152,9 +152,9 @@
 
 /// A mini frame: voice in the format last named in a full one, neither repeated nor ordered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Mini {
+pub struct MiniFrame {
     /// The sender's call number.
-    pub source: u16,
+    pub source_call: u16,
     /// The lower half of the time stamp.
     pub timestamp: u16,
     /// Voice.
@@ -165,9 +165,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Frame {
     /// A full frame.
-    Full(Full),
+    Full(FullFrame),
     /// A mini frame.
-    Mini(Mini),
+    Mini(MiniFrame),
 }
 
 /// The highest bit of a 16-bit field: full frame, sent again.
@@ -179,54 +179,56 @@
 ///
 /// # Errors
 /// If it is no frame that is spoken here.
-pub fn read(bytes: &[u8]) -> Result<Frame, FrameError> {
-    let short = FrameError::Short(bytes.len());
+pub fn decode(bytes: &[u8]) -> Result<Frame, FrameError> {
+    let short = FrameError::TooShort(bytes.len());
     let [s0, s1, rest @ ..] = bytes else { return Err(short) };
-    let source = u16::from_be_bytes([*s0, *s1]);
-    if source & FLAG == 0 {
+    let source_call = u16::from_be_bytes([*s0, *s1]);
+    if source_call & FLAG == 0 {
         let [t0, t1, payload @ ..] = rest else { return Err(short) };
-        if source == 0 {
-            return Err(FrameError::Meta);
+        if source_call == 0 {
+            return Err(FrameError::MetaFrame);
         }
         let timestamp = u16::from_be_bytes([*t0, *t1]);
-        return Ok(Frame::Mini(Mini { source, timestamp, payload: payload.to_vec() }));
+        return Ok(Frame::Mini(MiniFrame { source_call, timestamp, payload: payload.to_vec() }));
     }
-    let [d0, d1, t0, t1, t2, t3, oseq, iseq, kind, subclass, payload @ ..] = rest else { return Err(short) };
-    let dest = u16::from_be_bytes([*d0, *d1]);
+    let [d0, d1, t0, t1, t2, t3, oseqno, iseqno, frame_type, subclass, payload @ ..] = rest else {
+        return Err(short);
+    };
+    let dest_call = u16::from_be_bytes([*d0, *d1]);
     let value = u32::from(*subclass & !POWER);
-    Ok(Frame::Full(Full {
-        source: source & !FLAG,
-        dest: dest & !FLAG,
-        again: dest & FLAG != 0,
+    Ok(Frame::Full(FullFrame {
+        source_call: source_call & !FLAG,
+        dest_call: dest_call & !FLAG,
+        retransmitted: dest_call & FLAG != 0,
         timestamp: u32::from_be_bytes([*t0, *t1, *t2, *t3]),
-        oseq: *oseq,
-        iseq: *iseq,
-        kind: Kind::from_code(*kind),
+        oseqno: *oseqno,
+        iseqno: *iseqno,
+        frame_type: FrameType::from_code(*frame_type),
         subclass: if subclass & POWER == 0 { value } else { 1_u32.checked_shl(value).unwrap_or(0) },
         payload: payload.to_vec(),
     }))
 }
 
-impl Full {
+impl FullFrame {
     /// Its bytes.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(12 + self.payload.len());
-        bytes.extend((self.source | FLAG).to_be_bytes());
-        bytes.extend((self.dest | if self.again { FLAG } else { 0 }).to_be_bytes());
+        bytes.extend((self.source_call | FLAG).to_be_bytes());
+        bytes.extend((self.dest_call | if self.retransmitted { FLAG } else { 0 }).to_be_bytes());
         bytes.extend(self.timestamp.to_be_bytes());
-        bytes.extend([self.oseq, self.iseq, self.kind.code(), subclass_byte(self.subclass)]);
+        bytes.extend([self.oseqno, self.iseqno, self.frame_type.code(), subclass_byte(self.subclass)]);
         bytes.extend(&self.payload);
         bytes
     }
 
     /// Whether it takes part in the numbering of frames: those that only report on it do not.
-    pub fn counts(&self) -> bool {
-        self.kind != Kind::Iax || !matches!(self.subclass, iax::ACK | iax::INVAL | iax::VNAK)
+    pub fn is_sequenced(&self) -> bool {
+        self.frame_type != FrameType::Iax || !matches!(self.subclass, iax::ACK | iax::INVAL | iax::VNAK)
     }
 
     /// Whether it is this message of the protocol itself.
-    pub fn is(&self, subclass: u32) -> bool {
-        self.kind == Kind::Iax && self.subclass == subclass
+    pub fn is_iax(&self, subclass: u32) -> bool {
+        self.frame_type == FrameType::Iax && self.subclass == subclass
     }
 }
 
@@ -237,11 +239,11 @@
     }
 }
 
-impl Mini {
+impl MiniFrame {
     /// Its bytes.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(4 + self.payload.len());
-        bytes.extend((self.source & !FLAG).to_be_bytes());
+        bytes.extend((self.source_call & !FLAG).to_be_bytes());
         bytes.extend(self.timestamp.to_be_bytes());
         bytes.extend(&self.payload);
         bytes
--- a/src/iax2/leg.rs
+++ b/src/iax2/leg.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, SystemTime};
 
-use super::frame::{Full, Kind, Mini, iax};
+use super::frame::{FrameType, FullFrame, MiniFrame, iax};
 
 /// A frame that is not acknowledged is repeated after this time, then at doubling gaps.
 const REPEAT: Duration = Duration::from_millis(500);
@@ -20,7 +20,7 @@
 
 #[derive(Clone, Debug)]
 struct Unacked {
-    frame: Full,
+    frame: FullFrame,
     next: SystemTime,
     gap: Duration,
     repeated: u32,
@@ -28,20 +28,20 @@
 
 /// What a frame that came means to the endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum Received {
     /// The next frame in order, for the first time.
-    Frame(Full),
+    Frame(FullFrame),
     /// Nothing: the leg has seen to it.
-    Nothing,
+    Handled,
     /// The peer knows no such call.
-    Invalid,
+    UnknownCall,
 }
 
 /// One voice frame on its way through, stamped in the time of the leg it came on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Voice {
+pub struct VoiceFrame {
     /// Whole time stamp.
-    pub stamp: u32,
+    pub timestamp: u32,
     /// Format.
     pub format: u32,
     /// Sound.
@@ -52,12 +52,12 @@
 #[derive(Clone, Debug)]
 pub struct Leg {
     /// Our number of the call.
-    pub local: u16,
+    pub local_call: u16,
     /// The peer's number; 0 until it has told.
-    pub remote: u16,
+    pub remote_call: u16,
     started: SystemTime,
-    oseq: u8,
-    iseq: u8,
+    oseqno: u8,
+    iseqno: u8,
     unacked: VecDeque<Unacked>,
     ping_at: SystemTime,
     last_stamp: u32,
@@ -68,13 +68,13 @@
 
 impl Leg {
     /// A leg that begins now.
-    pub fn new(local: u16, remote: u16, now: SystemTime) -> Self {
+    pub fn new(local_call: u16, remote_call: u16, now: SystemTime) -> Self {
         Self {
-            local,
-            remote,
+            local_call,
+            remote_call,
             started: now,
-            oseq: 0,
-            iseq: 0,
+            oseqno: 0,
+            iseqno: 0,
             unacked: VecDeque::new(),
             ping_at: now + PING_EVERY,
             last_stamp: 0,
@@ -90,15 +90,15 @@
         self.last_stamp
     }
 
-    fn frame(&self, kind: Kind, subclass: u32, timestamp: u32, payload: Vec<u8>) -> Full {
-        Full {
-            source: self.local,
-            dest: self.remote,
-            again: false,
+    fn frame(&self, frame_type: FrameType, subclass: u32, timestamp: u32, payload: Vec<u8>) -> FullFrame {
+        FullFrame {
+            source_call: self.local_call,
+            dest_call: self.remote_call,
+            retransmitted: false,
             timestamp,
-            oseq: self.oseq,
-            iseq: self.iseq,
-            kind,
+            oseqno: self.oseqno,
+            iseqno: self.iseqno,
+            frame_type,
             subclass,
             payload,
         }
@@ -108,85 +108,85 @@
     pub fn send(
         &mut self,
         now: SystemTime,
-        kind: Kind,
+        frame_type: FrameType,
         subclass: u32,
         payload: Vec<u8>,
         out: &mut Vec<Vec<u8>>,
     ) {
         let stamp = self.stamp(now);
-        self.send_stamped(now, kind, subclass, stamp, payload, out);
+        self.send_stamped(now, frame_type, subclass, stamp, payload, out);
     }
 
     fn send_stamped(
         &mut self,
         now: SystemTime,
-        kind: Kind,
+        frame_type: FrameType,
         subclass: u32,
         stamp: u32,
         payload: Vec<u8>,
         out: &mut Vec<Vec<u8>>,
     ) {
-        let frame = self.frame(kind, subclass, stamp, payload);
-        self.oseq = self.oseq.wrapping_add(1);
-        out.push(frame.write());
+        let frame = self.frame(frame_type, subclass, stamp, payload);
+        self.oseqno = self.oseqno.wrapping_add(1);
+        out.push(frame.encode());
         self.unacked.push_back(Unacked { frame, next: now + REPEAT, gap: REPEAT, repeated: 0 });
     }
 
     /// Reports on a frame of the peer, outside the numbering.
     fn report(&self, subclass: u32, timestamp: u32, out: &mut Vec<Vec<u8>>) {
-        out.push(self.frame(Kind::Iax, subclass, timestamp, Vec::new()).write());
+        out.push(self.frame(FrameType::Iax, subclass, timestamp, Vec::new()).encode());
     }
 
     /// Takes a full frame that came for this leg.
-    pub fn receive(&mut self, now: SystemTime, frame: Full, out: &mut Vec<Vec<u8>>) -> Heard {
-        if self.remote == 0 {
-            self.remote = frame.source;
+    pub fn receive(&mut self, now: SystemTime, frame: FullFrame, out: &mut Vec<Vec<u8>>) -> Received {
+        if self.remote_call == 0 {
+            self.remote_call = frame.source_call;
         }
-        if frame.is(iax::INVAL) {
-            return Heard::Invalid;
+        if frame.is_iax(iax::INVAL) {
+            return Received::UnknownCall;
         }
         self.ping_at = now + PING_EVERY;
-        self.acknowledged(frame.iseq);
-        if frame.is(iax::VNAK) {
+        self.acknowledged(frame.iseqno);
+        if frame.is_iax(iax::VNAK) {
             for waiting in &mut self.unacked {
-                repeat(waiting, self.remote, self.iseq, out);
+                repeat(waiting, self.remote_call, self.iseqno, out);
                 waiting.next = now + waiting.gap;
             }
         }
-        if !frame.counts() {
-            return Heard::Nothing;
+        if !frame.is_sequenced() {
+            return Received::Handled;
         }
-        match frame.oseq.wrapping_sub(self.iseq) {
-            0 => self.iseq = self.iseq.wrapping_add(1),
+        match frame.oseqno.wrapping_sub(self.iseqno) {
+            0 => self.iseqno = self.iseqno.wrapping_add(1),
             // One that has come before: its acknowledgement was lost.
             128.. => {
                 self.report(iax::ACK, frame.timestamp, out);
-                return Heard::Nothing;
+                return Received::Handled;
             }
             // Frames before it are missing.
             _ => {
                 self.report(iax::VNAK, frame.timestamp, out);
-                return Heard::Nothing;
+                return Received::Handled;
             }
         }
         self.report(iax::ACK, frame.timestamp, out);
-        match (frame.kind, frame.subclass) {
-            (Kind::Iax, iax::PING) => {
-                self.send_stamped(now, Kind::Iax, iax::PONG, frame.timestamp, Vec::new(), out);
+        match (frame.frame_type, frame.subclass) {
+            (FrameType::Iax, iax::PING) => {
+                self.send_stamped(now, FrameType::Iax, iax::PONG, frame.timestamp, Vec::new(), out);
             }
-            (Kind::Iax, iax::LAGRQ) => {
-                self.send_stamped(now, Kind::Iax, iax::LAGRP, frame.timestamp, Vec::new(), out);
+            (FrameType::Iax, iax::LAGRQ) => {
+                self.send_stamped(now, FrameType::Iax, iax::LAGRP, frame.timestamp, Vec::new(), out);
             }
-            (Kind::Iax, iax::PONG | iax::LAGRP) => {}
-            _ => return Heard::Frame(frame),
+            (FrameType::Iax, iax::PONG | iax::LAGRP) => {}
+            _ => return Received::Frame(frame),
         }
-        Heard::Nothing
+        Received::Handled
     }
 
     /// Everything before this number has come.
-    fn acknowledged(&mut self, iseq: u8) {
+    fn acknowledged(&mut self, iseqno: u8) {
         let Some(first) = self.unacked.front() else { return };
-        let count = usize::from(iseq.wrapping_sub(first.frame.oseq));
+        let count = usize::from(iseqno.wrapping_sub(first.frame.oseqno));
         // More than was ever sent is a stray number, as from a frame that was long on its way.
         if count <= self.unacked.len() {
             self.unacked.drain(..count);
@@ -194,18 +194,18 @@
     }
 
     /// Whether all that was sent has come.
-    pub fn is_quiet(&self) -> bool {
+    pub fn all_acknowledged(&self) -> bool {
         self.unacked.is_empty()
     }
 
     /// When it wants to be woken. A leg that is closing is not pinged.
-    pub fn next_wake(&self, closing: bool) -> Option<SystemTime> {
+    pub fn next_timeout(&self, closing: bool) -> Option<SystemTime> {
         let next = self.unacked.iter().map(|waiting| waiting.next).min();
         if closing { next } else { Some(next.map_or(self.ping_at, |next| next.min(self.ping_at))) }
     }
 
     /// Repeats what is due and pings a quiet peer. False if the peer is taken for dead.
-    pub fn wake(&mut self, now: SystemTime, closing: bool, out: &mut Vec<Vec<u8>>) -> bool {
+    pub fn handle_timeout(&mut self, now: SystemTime, closing: bool, out: &mut Vec<Vec<u8>>) -> bool {
         for waiting in self.unacked.iter_mut().filter(|waiting| waiting.next <= now) {
             if waiting.repeated >= REPETITIONS {
                 return false;
@@ -213,12 +213,12 @@
             waiting.repeated += 1;
             waiting.gap = (waiting.gap * 2).min(LONGEST_GAP);
             waiting.next = now + waiting.gap;
-            repeat(waiting, self.remote, self.iseq, out);
+            repeat(waiting, self.remote_call, self.iseqno, out);
         }
         if !closing && self.ping_at <= now {
             self.ping_at = now + PING_EVERY;
             if self.unacked.is_empty() {
-                self.send(now, Kind::Iax, iax::PING, Vec::new(), out);
+                self.send(now, FrameType::Iax, iax::PING, Vec::new(), out);
             }
         }
         true
@@ -227,42 +227,45 @@
     /// Ends the leg with this message. A set-up that was never acknowledged is not repeated any more: it could
     /// reach the peer after it was given up, while the next attempt is already out.
     pub fn end(&mut self, now: SystemTime, subclass: u32, payload: Vec<u8>, out: &mut Vec<Vec<u8>>) {
-        self.unacked.retain(|waiting| !waiting.frame.is(iax::NEW));
-        self.send(now, Kind::Iax, subclass, payload, out);
+        self.unacked.retain(|waiting| !waiting.frame.is_iax(iax::NEW));
+        self.send(now, FrameType::Iax, subclass, payload, out);
     }
 
     /// Voice from a full frame.
-    pub fn voice_of_full(&mut self, frame: Full) -> Voice {
+    pub fn voice_from_full(&mut self, frame: FullFrame) -> VoiceFrame {
         self.voice_in = Some((frame.timestamp, frame.subclass));
-        Voice { stamp: frame.timestamp, format: frame.subclass, payload: frame.payload }
+        VoiceFrame { timestamp: frame.timestamp, format: frame.subclass, payload: frame.payload }
     }
 
     /// Voice from a mini frame, which has half a time stamp and no format; `None` before any full one.
-    pub fn voice_of_mini(&mut self, mini: Mini) -> Option<Voice> {
+    pub fn voice_from_mini(&mut self, mini: MiniFrame) -> Option<VoiceFrame> {
         let (last, format) = self.voice_in?;
         // The nearest time stamp with this lower half.
         let step = mini.timestamp.wrapping_sub(last as u16) as i16;
         let stamp = last.wrapping_add_signed(i32::from(step));
         self.voice_in = Some((stamp.max(last), format));
-        Some(Voice { stamp, format, payload: mini.payload })
+        Some(VoiceFrame { timestamp: stamp, format, payload: mini.payload })
     }
 
     /// Passes voice from the other leg on, in a mini frame wherever the peer can complete it.
-    pub fn send_voice(&mut self, now: SystemTime, voice: Voice, out: &mut Vec<Vec<u8>>) {
+    pub fn send_voice(&mut self, now: SystemTime, voice: VoiceFrame, out: &mut Vec<Vec<u8>>) {
         let elapsed = now.duration_since(self.started).unwrap_or_default().as_millis() as i64;
-        let offset = *self.offset.get_or_insert(elapsed - i64::from(voice.stamp));
-        let stamp = (i64::from(voice.stamp) + offset).max(0) as u32;
+        let offset = *self.offset.get_or_insert(elapsed - i64::from(voice.timestamp));
+        let stamp = (i64::from(voice.timestamp) + offset).max(0) as u32;
         if self.voice_out == Some((stamp >> 16, voice.format)) {
-            out.push(Mini { source: self.local, timestamp: stamp as u16, payload: voice.payload }.write());
+            out.push(
+                MiniFrame { source_call: self.local_call, timestamp: stamp as u16, payload: voice.payload }
+                    .encode(),
+            );
         } else {
             self.voice_out = Some((stamp >> 16, voice.format));
-            self.send_stamped(now, Kind::Voice, voice.format, stamp, voice.payload, out);
+            self.send_stamped(now, FrameType::Voice, voice.format, stamp, voice.payload, out);
         }
     }
 }
 
-fn repeat(waiting: &mut Unacked, remote: u16, iseq: u8, out: &mut Vec<Vec<u8>>) {
+fn repeat(waiting: &mut Unacked, remote_call: u16, iseqno: u8, out: &mut Vec<Vec<u8>>) {
     let frame = &mut waiting.frame;
-    (frame.again, frame.dest, frame.iseq) = (true, remote, iseq);
-    out.push(frame.write());
+    (frame.retransmitted, frame.dest_call, frame.iseqno) = (true, remote_call, iseqno);
+    out.push(frame.encode());
 }
--- a/src/iax2/mod.rs
+++ b/src/iax2/mod.rs
@@ -11,9 +11,9 @@
 use crate::config::{ConfigError, Node, parse_json};
 use crate::engine::{CallUid, CallerConnId, CallerMessage, ExchangeConnId, ExchangeMessage, Input, SetUp};
 use crate::interface::{Number, Outcome, Reason};
-use element::{Elements, G711, SPOKEN, cause_of, end_of};
-use frame::{Frame, Full, Kind, Mini, control, iax};
-use leg::{Heard, Leg, Voice};
+use element::{G711_FORMATS, InformationElements, PROTOCOL_VERSION, cause_elements, outcome_of};
+use frame::{Frame, FrameType, FullFrame, MiniFrame, control, iax};
+use leg::{Leg, Received, VoiceFrame};
 
 pub mod element;
 pub mod frame;
@@ -81,7 +81,7 @@
     }
 
     /// Whether the exchange with this number speaks IAX2.
-    pub fn speaks(&self, exchange: Number) -> bool {
+    pub fn is_iax2_exchange(&self, exchange: Number) -> bool {
         self.nodes.contains(&exchange)
     }
 
@@ -173,28 +173,31 @@
     }
 
     /// Legs that it holds.
-    pub fn legs(&self) -> usize {
+    pub fn leg_count(&self) -> usize {
         self.lines.len()
     }
 
     /// Whether every peer has acknowledged all that was sent to it.
-    pub fn all_heard(&self) -> bool {
-        self.lines.values().all(|line| line.leg.is_quiet())
+    pub fn all_acknowledged(&self) -> bool {
+        self.lines.values().all(|line| line.leg.all_acknowledged())
     }
 
     /// When it wants to be woken.
-    pub fn next_wake(&self) -> Option<SystemTime> {
-        let lines = self.lines.values().filter_map(|line| line.leg.next_wake(line.state == State::Closing));
+    pub fn next_timeout(&self) -> Option<SystemTime> {
+        let lines =
+            self.lines.values().filter_map(|line| line.leg.next_timeout(line.state == State::Closing));
         lines.chain(self.pokes.values().map(|poke| poke.next.min(poke.until))).min()
     }
 
     /// Does what is due.
-    pub fn wake(&mut self, now: SystemTime, out: &mut Output) {
-        let due = |line: &Line| line.leg.next_wake(line.state == State::Closing).is_some_and(|at| at <= now);
+    pub fn handle_timeout(&mut self, now: SystemTime, out: &mut Output) {
+        let due =
+            |line: &Line| line.leg.next_timeout(line.state == State::Closing).is_some_and(|at| at <= now);
         let numbers: Vec<u16> = self.lines.iter().filter(|(_, line)| due(line)).map(|(n, _)| *n).collect();
         for number in numbers {
-            let alive =
-                self.on_leg(number, out, |line, sent| line.leg.wake(now, line.state == State::Closing, sent));
+            let alive = self.on_leg(number, out, |line, sent| {
+                line.leg.handle_timeout(now, line.state == State::Closing, sent)
+            });
             if alive == Some(false) {
                 self.lost(number, now, out);
             }
@@ -240,7 +243,7 @@
     /// The one place where a leg is given back.
     fn remove(&mut self, number: u16, now: SystemTime) -> Option<Line> {
         let line = self.lines.remove(&number)?;
-        let remote = (line.peer, line.leg.remote);
+        let remote = (line.peer, line.leg.remote_call);
         if self.by_remote.get(&remote) == Some(&number) {
             self.by_remote.remove(&remote);
         }
@@ -280,25 +283,40 @@
 
     /// Takes a datagram that came at this time. Whatever it holds, it can only end a call of its sender.
     pub fn receive(&mut self, now: SystemTime, from: SocketAddr, bytes: &[u8], out: &mut Output) {
-        match frame::read(bytes) {
+        match frame::decode(bytes) {
             Ok(Frame::Full(frame)) => self.full(now, from, frame, out),
             Ok(Frame::Mini(mini)) => self.mini(now, from, mini, out),
             Err(_) => {}
         }
     }
 
-    fn full(&mut self, now: SystemTime, from: SocketAddr, frame: Full, out: &mut Output) {
-        if frame.dest == 0 && frame.is(iax::POKE) {
-            let pong = Full { source: POKE_NUMBER, dest: frame.source, iseq: 1, ..frame };
-            let pong = Full { again: false, oseq: 0, subclass: iax::PONG, payload: Vec::new(), ..pong };
-            out.datagrams.push((from, pong.write()));
+    fn full(&mut self, now: SystemTime, from: SocketAddr, frame: FullFrame, out: &mut Output) {
+        if frame.dest_call == 0 && frame.is_iax(iax::POKE) {
+            let pong =
+                FullFrame { source_call: POKE_NUMBER, dest_call: frame.source_call, iseqno: 1, ..frame };
+            let pong = FullFrame {
+                retransmitted: false,
+                oseqno: 0,
+                subclass: iax::PONG,
+                payload: Vec::new(),
+                ..pong
+            };
+            out.datagrams.push((from, pong.encode()));
             return;
         }
-        if self.pokes.get(&frame.dest).is_some_and(|poke| poke.address == from) && frame.is(iax::PONG) {
-            if let Some(poke) = self.pokes.remove(&frame.dest) {
-                let ack = Full { source: frame.dest, dest: frame.source, oseq: 1, iseq: 1, ..frame };
-                let ack = Full { again: false, subclass: iax::ACK, payload: Vec::new(), ..ack };
-                out.datagrams.push((from, ack.write()));
+        if self.pokes.get(&frame.dest_call).is_some_and(|poke| poke.address == from)
+            && frame.is_iax(iax::PONG)
+        {
+            if let Some(poke) = self.pokes.remove(&frame.dest_call) {
+                let ack = FullFrame {
+                    source_call: frame.dest_call,
+                    dest_call: frame.source_call,
+                    oseqno: 1,
+                    iseqno: 1,
+                    ..frame
+                };
+                let ack = FullFrame { retransmitted: false, subclass: iax::ACK, payload: Vec::new(), ..ack };
+                out.datagrams.push((from, ack.encode()));
                 self.nodes.insert(poke.exchange_conn, poke.address);
                 out.inputs.push(Input::ExchangeConnected {
                     exchange_conn: poke.exchange_conn,
@@ -308,46 +326,56 @@
             return;
         }
         // A peer that has not heard our number yet is known by its own.
-        let known = self.by_remote.get(&(from, frame.source)).copied();
-        let number = if frame.dest == 0 { known } else { Some(frame.dest) };
-        let fits = |line: &&Line| line.peer == from && [0, frame.source].contains(&line.leg.remote);
+        let known = self.by_remote.get(&(from, frame.source_call)).copied();
+        let number = if frame.dest_call == 0 { known } else { Some(frame.dest_call) };
+        let fits = |line: &&Line| line.peer == from && [0, frame.source_call].contains(&line.leg.remote_call);
         let number = number.filter(|n| self.lines.get(n).as_ref().is_some_and(fits));
         match number {
             Some(number) => self.on_line(now, number, frame, out),
-            None if frame.dest == 0 && frame.is(iax::NEW) => self.set_up(now, from, frame, out),
+            None if frame.dest_call == 0 && frame.is_iax(iax::NEW) => self.set_up(now, from, frame, out),
             // Neither end may answer a report with a report for ever; and nothing is owed to a late one.
-            None if frame.is(iax::INVAL) || frame.is(iax::ACK) || frame.dest == POKE_NUMBER => {}
+            None if frame.is_iax(iax::INVAL) || frame.is_iax(iax::ACK) || frame.dest_call == POKE_NUMBER => {}
             None => {
-                let inval = Full { source: frame.dest, dest: frame.source, again: false, ..frame };
-                let inval = Full { oseq: frame.iseq, iseq: frame.oseq, kind: Kind::Iax, ..inval };
-                let inval = Full { subclass: iax::INVAL, payload: Vec::new(), ..inval };
-                out.datagrams.push((from, inval.write()));
+                let inval = FullFrame {
+                    source_call: frame.dest_call,
+                    dest_call: frame.source_call,
+                    retransmitted: false,
+                    ..frame
+                };
+                let inval = FullFrame {
+                    oseqno: frame.iseqno,
+                    iseqno: frame.oseqno,
+                    frame_type: FrameType::Iax,
+                    ..inval
+                };
+                let inval = FullFrame { subclass: iax::INVAL, payload: Vec::new(), ..inval };
+                out.datagrams.push((from, inval.encode()));
             }
         }
     }
 
-    fn on_line(&mut self, now: SystemTime, number: u16, frame: Full, out: &mut Output) {
-        let source = frame.source;
+    fn on_line(&mut self, now: SystemTime, number: u16, frame: FullFrame, out: &mut Output) {
+        let source = frame.source_call;
         let heard = self.on_leg(number, out, |line, sent| line.leg.receive(now, frame, sent));
         let Some(line) = self.lines.get(&number) else { return };
-        if matches!(line.role, Role::Node(_)) && line.leg.remote == source {
+        if matches!(line.role, Role::Node(_)) && line.leg.remote_call == source {
             self.by_remote.insert((line.peer, source), number);
         }
         match heard {
-            Some(Heard::Invalid) => self.lost(number, now, out),
-            Some(Heard::Frame(frame)) => self.deliver(now, number, frame, out),
+            Some(Received::UnknownCall) => self.lost(number, now, out),
+            Some(Received::Frame(frame)) => self.deliver(now, number, frame, out),
             _ => {}
         }
         // Whatever frame it was that acknowledged the last message: nothing else would ever wake this leg.
-        let over = |line: &Line| line.state == State::Closing && line.leg.is_quiet();
+        let over = |line: &Line| line.state == State::Closing && line.leg.all_acknowledged();
         if self.lines.get(&number).is_some_and(over) {
             self.remove(number, now);
         }
     }
 
     /// A set-up from a caller.
-    fn set_up(&mut self, now: SystemTime, from: SocketAddr, frame: Full, out: &mut Output) {
-        let remote = (from, frame.source);
+    fn set_up(&mut self, now: SystemTime, from: SocketAddr, frame: FullFrame, out: &mut Output) {
+        let remote = (from, frame.source_call);
         if self.recent.get(&remote).is_some_and(|(stamp, until)| *stamp == frame.timestamp && now < *until) {
             return;
         }
@@ -358,14 +386,14 @@
         let Some(number) = self.free_number() else { return };
         self.names = self.names.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let call = CallUid::from_u64(scattered(self.names));
-        let elements = Elements::read(&frame.payload);
+        let elements = InformationElements::decode(&frame.payload);
         let full = self.callers.len() >= MOST_CALLERS;
-        let mut leg = Leg::new(number, frame.source, now);
+        let mut leg = Leg::new(number, frame.source_call, now);
         let mut sent = Vec::new();
         let stamp = frame.timestamp;
         let heard = leg.receive(now, frame, &mut sent);
         out.datagrams.extend(sent.into_iter().map(|bytes| (from, bytes)));
-        if !matches!(heard, Heard::Frame(_)) {
+        if !matches!(heard, Received::Frame(_)) {
             return;
         }
         let wanted = elements.as_ref().ok().cloned().unwrap_or_default();
@@ -378,12 +406,12 @@
         let context = wanted.called_context.as_deref().unwrap_or_default();
         let route = self.config.route(context, &called).map(|(class, to)| (class.to_owned(), to));
         let refusal = match (&elements, route) {
-            _ if full => Err(Elements::of_cause(42, "too many calls")),
-            (Err(_), _) => Err(Elements::of_cause(95, "malformed set-up")),
-            (Ok(e), _) if e.version != Some(SPOKEN) => {
-                Err(Elements::of_cause(111, "version 2 is spoken here"))
+            _ if full => Err(InformationElements::with_cause(42, "too many calls")),
+            (Err(_), _) => Err(InformationElements::with_cause(95, "malformed set-up")),
+            (Ok(e), _) if e.version != Some(PROTOCOL_VERSION) => {
+                Err(InformationElements::with_cause(111, "version 2 is spoken here"))
             }
-            (_, None) => Err(Elements::of_cause(1, "no such number in this context")),
+            (_, None) => Err(InformationElements::with_cause(1, "no such number in this context")),
             (_, Some(route)) => Ok(route),
         };
         match refusal {
@@ -409,20 +437,20 @@
     }
 
     /// A frame in order on a leg that is known.
-    fn deliver(&mut self, now: SystemTime, number: u16, frame: Full, out: &mut Output) {
+    fn deliver(&mut self, now: SystemTime, number: u16, frame: FullFrame, out: &mut Output) {
         let Some(line) = self.lines.get_mut(&number) else { return };
         let (call, role, state) = (line.call, line.role, line.state);
-        let over = frame.is(iax::HANGUP)
-            || frame.is(iax::REJECT)
-            || (frame.kind == Kind::Control && frame.subclass == control::HANGUP);
+        let over = frame.is_iax(iax::HANGUP)
+            || frame.is_iax(iax::REJECT)
+            || (frame.frame_type == FrameType::Control && frame.subclass == control::HANGUP);
         if over {
-            let why = match frame.kind {
-                Kind::Iax => Elements::read(&frame.payload).unwrap_or_default(),
-                _ => Elements::default(),
+            let why = match frame.frame_type {
+                FrameType::Iax => InformationElements::decode(&frame.payload).unwrap_or_default(),
+                _ => InformationElements::default(),
             };
             self.remove(number, now);
             if state != State::Closing {
-                let (outcome, reason) = end_of(&why);
+                let (outcome, reason) = outcome_of(&why);
                 out.inputs.push(match role {
                     Role::Caller => {
                         let cause = why.cause_code.unwrap_or(16);
@@ -433,51 +461,66 @@
             }
             return;
         }
-        match (frame.kind, frame.subclass, role) {
+        match (frame.frame_type, frame.subclass, role) {
             _ if state == State::Closing => {}
-            (Kind::Voice, ..) => {
-                let voice = line.leg.voice_of_full(frame);
+            (FrameType::Voice, ..) => {
+                let voice = line.leg.voice_from_full(frame);
                 self.relay(now, number, voice, out);
             }
-            (Kind::Iax, iax::ACCEPT, Role::Node(_)) => {
-                if let Some(format) = Elements::read(&frame.payload).ok().and_then(|e| e.format) {
+            (FrameType::Iax, iax::ACCEPT, Role::Node(_)) => {
+                if let Some(format) = InformationElements::decode(&frame.payload).ok().and_then(|e| e.format)
+                {
                     line.format = format;
                 }
             }
-            (Kind::Iax, iax::AUTHREQ, Role::Node(exchange_conn)) => {
+            (FrameType::Iax, iax::AUTHREQ, Role::Node(exchange_conn)) => {
                 // No secrets are kept here: a node that asks for one cannot be used.
-                self.end(number, now, iax::HANGUP, &Elements::of_cause(21, "no credentials"), out);
+                self.end(
+                    number,
+                    now,
+                    iax::HANGUP,
+                    &InformationElements::with_cause(21, "no credentials"),
+                    out,
+                );
                 let (outcome, reason) = (Outcome::Busy, Reason::Unspecified);
                 out.inputs.push(Input::Ended { exchange_conn, call, outcome, reason });
             }
-            (Kind::Control, control::ANSWER, Role::Node(exchange_conn)) if state == State::Early => {
+            (FrameType::Control, control::ANSWER, Role::Node(exchange_conn)) if state == State::Early => {
                 line.state = State::Up;
                 let description = Some(describe(line.format, line.format).into());
                 self.standing.insert(call, number);
                 out.inputs.push(Input::Answered { exchange_conn, call, description });
             }
-            (Kind::Control, control::BUSY | control::CONGESTION, Role::Node(exchange_conn))
+            (FrameType::Control, control::BUSY | control::CONGESTION, Role::Node(exchange_conn))
                 if state == State::Early =>
             {
                 let code = if frame.subclass == control::BUSY { 17 } else { 34 };
-                let why = Elements::of_cause(code, "");
+                let why = InformationElements::with_cause(code, "");
                 self.end(number, now, iax::HANGUP, &why, out);
-                let (outcome, reason) = end_of(&why);
+                let (outcome, reason) = outcome_of(&why);
                 out.inputs.push(Input::Ended { exchange_conn, call, outcome, reason });
             }
             // Never answered in kind: two ends that do so would go on for ever.
-            (Kind::Iax, iax::UNSUPPORT, _) => {}
-            (Kind::Iax, subclass, _) => {
+            (FrameType::Iax, iax::UNSUPPORT, _) => {}
+            (FrameType::Iax, subclass, _) => {
                 let unknown = Some(subclass as u8);
-                let payload = Elements { unknown, ..Elements::default() }.write();
+                let payload = InformationElements { unknown, ..InformationElements::default() }.encode();
                 self.on_leg(number, out, |line, sent| {
-                    line.leg.send(now, Kind::Iax, iax::UNSUPPORT, payload, sent);
+                    line.leg.send(now, FrameType::Iax, iax::UNSUPPORT, payload, sent);
                 });
             }
-            (Kind::Dtmf | Kind::Text | Kind::Noise | Kind::Image | Kind::Html | Kind::Video, ..) => {
+            (
+                FrameType::Dtmf
+                | FrameType::Text
+                | FrameType::ComfortNoise
+                | FrameType::Image
+                | FrameType::Html
+                | FrameType::Video,
+                ..,
+            ) => {
                 if let Some(other) = self.other_leg(number) {
                     self.on_leg(other, out, |line, sent| {
-                        line.leg.send(now, frame.kind, frame.subclass, frame.payload, sent);
+                        line.leg.send(now, frame.frame_type, frame.subclass, frame.payload, sent);
                     });
                 }
             }
@@ -497,15 +540,15 @@
         other.copied().filter(|other| self.lines.get(other).is_some_and(|line| line.state == State::Up))
     }
 
-    fn relay(&mut self, now: SystemTime, number: u16, voice: Voice, out: &mut Output) {
+    fn relay(&mut self, now: SystemTime, number: u16, voice: VoiceFrame, out: &mut Output) {
         if let Some(other) = self.other_leg(number) {
             self.on_leg(other, out, |line, sent| line.leg.send_voice(now, voice, sent));
         }
     }
 
-    fn mini(&mut self, now: SystemTime, from: SocketAddr, mini: Mini, out: &mut Output) {
-        let Some(number) = self.by_remote.get(&(from, mini.source)).copied() else { return };
-        let voice = self.lines.get_mut(&number).and_then(|line| line.leg.voice_of_mini(mini));
+    fn mini(&mut self, now: SystemTime, from: SocketAddr, mini: MiniFrame, out: &mut Output) {
+        let Some(number) = self.by_remote.get(&(from, mini.source_call)).copied() else { return };
+        let voice = self.lines.get_mut(&number).and_then(|line| line.leg.voice_from_mini(mini));
         if let Some(voice) = voice {
             self.relay(now, number, voice, out);
         }
@@ -514,8 +557,15 @@
     // ---- the engine's words ----
 
     /// Ends a leg from this side.
-    fn end(&mut self, number: u16, now: SystemTime, subclass: u32, why: &Elements, out: &mut Output) {
-        let payload = why.write();
+    fn end(
+        &mut self,
+        number: u16,
+        now: SystemTime,
+        subclass: u32,
+        why: &InformationElements,
+        out: &mut Output,
+    ) {
+        let payload = why.encode();
         self.on_leg(number, out, |line, sent| {
             line.state = State::Closing;
             line.leg.end(now, subclass, payload, sent);
@@ -523,7 +573,7 @@
     }
 
     /// Tells a caller.
-    pub fn to_caller(&mut self, now: SystemTime, call: CallUid, word: &CallerMessage, out: &mut Output) {
+    pub fn send_to_caller(&mut self, now: SystemTime, call: CallUid, word: &CallerMessage, out: &mut Output) {
         let Some(number) = self.callers.get(&call).copied() else { return };
         let Some(state) = self.lines.get(&number).map(|line| line.state) else { return };
         match (word, state) {
@@ -532,18 +582,19 @@
                 self.on_leg(number, out, |line, sent| {
                     line.state = State::Up;
                     let format = description.as_deref().and_then(described_format).unwrap_or(line.format);
-                    let accept = Elements { format: Some(format), ..Elements::default() };
-                    line.leg.send(now, Kind::Iax, iax::ACCEPT, accept.write(), sent);
-                    line.leg.send(now, Kind::Control, control::ANSWER, Vec::new(), sent);
+                    let accept =
+                        InformationElements { format: Some(format), ..InformationElements::default() };
+                    line.leg.send(now, FrameType::Iax, iax::ACCEPT, accept.encode(), sent);
+                    line.leg.send(now, FrameType::Control, control::ANSWER, Vec::new(), sent);
                 });
             }
-            (_, State::Up) => self.end(number, now, iax::HANGUP, &cause_of(word), out),
-            (_, State::Early) => self.end(number, now, iax::REJECT, &cause_of(word), out),
+            (_, State::Up) => self.end(number, now, iax::HANGUP, &cause_elements(word), out),
+            (_, State::Early) => self.end(number, now, iax::REJECT, &cause_elements(word), out),
         }
     }
 
     /// Tells a node.
-    pub fn to_node(
+    pub fn send_to_exchange(
         &mut self,
         now: SystemTime,
         exchange_conn: ExchangeConnId,
@@ -561,13 +612,13 @@
                     return;
                 };
                 let format = description.as_deref().and_then(described_format);
-                let elements = Elements {
-                    version: Some(SPOKEN),
+                let elements = InformationElements {
+                    version: Some(PROTOCOL_VERSION),
                     called_number: called_number.clone(),
                     called_context: Some(class.clone()),
-                    capability: Some(format.unwrap_or(G711)),
-                    format: Some(format.unwrap_or(G711 & G711.wrapping_neg())),
-                    ..Elements::default()
+                    capability: Some(format.unwrap_or(G711_FORMATS)),
+                    format: Some(format.unwrap_or(G711_FORMATS & G711_FORMATS.wrapping_neg())),
+                    ..InformationElements::default()
                 };
                 let line = Line {
                     leg: Leg::new(number, 0, now),
@@ -575,12 +626,12 @@
                     call,
                     role: Role::Node(exchange_conn),
                     state: State::Early,
-                    format: format.unwrap_or(G711 & G711.wrapping_neg()),
+                    format: format.unwrap_or(G711_FORMATS & G711_FORMATS.wrapping_neg()),
                 };
                 self.lines.insert(number, line);
                 self.node_legs.insert((call, exchange_conn), number);
                 self.on_leg(number, out, |line, sent| {
-                    line.leg.send(now, Kind::Iax, iax::NEW, elements.write(), sent);
+                    line.leg.send(now, FrameType::Iax, iax::NEW, elements.encode(), sent);
                 });
             }
             ExchangeMessage::Cancel => self.end_node(now, exchange_conn, call, 16, out),
@@ -600,12 +651,12 @@
     ) {
         let Some(number) = self.node_legs.get(&(call, exchange_conn)).copied() else { return };
         if self.lines.get(&number).is_some_and(|line| line.state != State::Closing) {
-            self.end(number, now, iax::HANGUP, &Elements::of_cause(cause, ""), out);
+            self.end(number, now, iax::HANGUP, &InformationElements::with_cause(cause, ""), out);
         }
     }
 
     /// Looks whether a node is there.
-    pub fn connect(
+    pub fn connect_exchange(
         &mut self,
         now: SystemTime,
         exchange_conn: ExchangeConnId,
@@ -623,7 +674,7 @@
     }
 
     /// A node that is gone: its legs are ended without a word, as nobody is there.
-    pub fn close(&mut self, now: SystemTime, exchange_conn: ExchangeConnId) {
+    pub fn close_exchange(&mut self, now: SystemTime, exchange_conn: ExchangeConnId) {
         self.nodes.remove(&exchange_conn);
         self.pokes.retain(|_, poke| poke.exchange_conn != exchange_conn);
         let numbers: Vec<u16> =
@@ -634,14 +685,25 @@
     }
 }
 
-fn poke_frame(number: u16, again: bool) -> Vec<u8> {
-    let (kind, subclass, payload) = (Kind::Iax, iax::POKE, Vec::new());
-    Full { source: number, dest: 0, again, timestamp: 0, oseq: 0, iseq: 0, kind, subclass, payload }.write()
+fn poke_frame(number: u16, retransmitted: bool) -> Vec<u8> {
+    let (frame_type, subclass, payload) = (FrameType::Iax, iax::POKE, Vec::new());
+    FullFrame {
+        source_call: number,
+        dest_call: 0,
+        retransmitted,
+        timestamp: 0,
+        oseqno: 0,
+        iseqno: 0,
+        frame_type,
+        subclass,
+        payload,
+    }
+    .encode()
 }
 
 /// The format of a leg: the wanted one, else the first that can be taken.
-fn chosen(elements: &Elements) -> u32 {
-    let capability = elements.capability.unwrap_or(G711);
+fn chosen(elements: &InformationElements) -> u32 {
+    let capability = elements.capability.unwrap_or(G711_FORMATS);
     elements.format.filter(|format| *format != 0).unwrap_or(capability & capability.wrapping_neg())
 }
 
--- a/src/load/clf.rs
+++ b/src/load/clf.rs
@@ -2,23 +2,23 @@
 
 use chrono::DateTime;
 
-use super::{Load, Offer, path_of};
+use super::{RecordedCall, RecordedLoad, path_of};
 
 /// Reads an access log. Lines that are neither empty nor in one of the formats are counted as skipped.
-pub fn read(text: &str) -> Load {
-    let mut load = Load::default();
+pub fn parse(text: &str) -> RecordedLoad {
+    let mut load = RecordedLoad::default();
     for line in text.lines().map(str::trim).filter(|line| !line.is_empty()) {
-        match read_line(line) {
-            Some(offer) => load.offers.push(offer),
+        match parse_line(line) {
+            Some(offer) => load.calls.push(offer),
             None => load.skipped += 1,
         }
     }
-    load.offers.sort_by_key(|offer| offer.at);
+    load.calls.sort_by_key(|offer| offer.at);
     load
 }
 
 /// `host ident user [time] "request" status bytes`, and whatever follows in the Combined format.
-fn read_line(line: &str) -> Option<Offer> {
+fn parse_line(line: &str) -> Option<RecordedCall> {
     let (_, rest) = line.split_once('[')?;
     let (time, rest) = rest.split_once(']')?;
     let at = DateTime::parse_from_str(time, "%d/%b/%Y:%H:%M:%S %z").ok()?;
@@ -26,7 +26,12 @@
     let status: u16 = rest.split_whitespace().next()?.parse().ok()?;
     // `GET /path HTTP/1.1`; the version is missing in the oldest form.
     let target = request.split(' ').nth(1)?;
-    Some(Offer { at: at.into(), key: path_of(target), took: None, served: (100..400).contains(&status) })
+    Some(RecordedCall {
+        at: at.into(),
+        path: path_of(target),
+        elapsed: None,
+        served: (100..400).contains(&status),
+    })
 }
 
 /// What stands in quotes at the start, and what follows. A quote with a backslash before it does not end it.
--- a/src/load/har.rs
+++ b/src/load/har.rs
@@ -4,7 +4,7 @@
 
 use chrono::DateTime;
 
-use super::{Load, LoadError, Offer, path_of};
+use super::{LoadError, RecordedCall, RecordedLoad, path_of};
 use crate::config::{ConfigError, Node, parse_json_to};
 
 /// Deepest nesting of a HAR file: browsers nest the stacks that led to a request.
@@ -14,30 +14,30 @@
 ///
 /// # Errors
 /// If it is not JSON or has no list of entries.
-pub fn read(text: &str) -> Result<Load, LoadError> {
-    let json = parse_json_to(DEEPEST, text).map_err(LoadError::NotHar)?;
+pub fn parse(text: &str) -> Result<RecordedLoad, LoadError> {
+    let json = parse_json_to(DEEPEST, text).map_err(LoadError::InvalidHar)?;
     let top = Node { path: String::new(), value: &json };
-    let not_har = |error: ConfigError| LoadError::NotHar(error.to_string());
-    let entries = top.get("log").and_then(|log| log.get("entries")?.items()).map_err(not_har)?;
-    let mut load = Load::default();
+    let invalid_har = |error: ConfigError| LoadError::InvalidHar(error.to_string());
+    let entries = top.get("log").and_then(|log| log.get("entries")?.items()).map_err(invalid_har)?;
+    let mut load = RecordedLoad::default();
     for entry in entries {
-        match read_entry(&entry) {
-            Some(offer) => load.offers.push(offer),
+        match parse_entry(&entry) {
+            Some(offer) => load.calls.push(offer),
             None => load.skipped += 1,
         }
     }
-    load.offers.sort_by_key(|offer| offer.at);
+    load.calls.sort_by_key(|offer| offer.at);
     Ok(load)
 }
 
-fn read_entry(entry: &Node<'_>) -> Option<Offer> {
+fn parse_entry(entry: &Node<'_>) -> Option<RecordedCall> {
     let started = DateTime::parse_from_rfc3339(&entry.text("startedDateTime").ok()?).ok()?;
-    let took = entry.number("time").ok().filter(|ms| *ms >= 0.0);
+    let elapsed = entry.number("time").ok().filter(|ms| *ms >= 0.0);
     let status = entry.get("response").and_then(|r| r.number("status")).unwrap_or(0.0);
-    Some(Offer {
+    Some(RecordedCall {
         at: started.into(),
-        key: path_of(&entry.get("request").ok()?.text("url").ok()?),
-        took: took.map(|ms| Duration::from_secs_f64(ms.min(1e9) / 1_000.0)),
+        path: path_of(&entry.get("request").ok()?.text("url").ok()?),
+        elapsed: elapsed.map(|ms| Duration::from_secs_f64(ms.min(1e9) / 1_000.0)),
         // 0 stands for a request that got no answer at all.
         served: (1.0..400.0).contains(&status),
     })
--- a/src/main.rs
+++ b/src/main.rs
@@ -12,7 +12,7 @@
 use swiftlb::edge::Edge;
 use swiftlb::engine::Input;
 use swiftlb::iax2::Iax2Config;
-use swiftlb::load::{Load, Plan};
+use swiftlb::load::{RecordedLoad, SetUpOptions};
 use swiftlb::log::{self, Log, LogFormat};
 use swiftlb::net::handover::adopt;
 use swiftlb::net::{Message, Server};
@@ -111,14 +111,18 @@
 fn load(mut parser: lexopt::Parser) -> Result<(), Box<dyn Error>> {
     use lexopt::prelude::*;
     let (mut files, mut setups, mut times) = (Vec::new(), false, false);
-    let mut plan =
-        Plan { class: "unit-status".to_owned(), left: Duration::from_secs(9), dest: None, exchanges: 1 };
+    let mut plan = SetUpOptions {
+        class: "unit-status".to_owned(),
+        remaining: Duration::from_secs(9),
+        dest: None,
+        exchanges: 1,
+    };
     while let Some(arg) = parser.next()? {
         match arg {
             Long("setups") => setups = true,
             Long("times") => times = true,
             Long("class") => plan.class = parser.value()?.string()?,
-            Long("left") => plan.left = Duration::from_millis(parser.value()?.parse()?),
+            Long("left") => plan.remaining = Duration::from_millis(parser.value()?.parse()?),
             Long("dest") => plan.dest = Some(parser.value()?.parse()?),
             Long("exchanges") => plan.exchanges = parser.value()?.parse()?,
             Value(word) => files.push(word.string()?),
@@ -126,11 +130,12 @@
         }
     }
     // The first word is the command itself.
-    let mut all = Load::default();
+    let mut all = RecordedLoad::default();
     for file in files.get(1..).filter(|files| !files.is_empty()).ok_or("no file to read")? {
         let text = std::fs::read(file).map_err(|error| format!("{file}: {error}"))?;
-        let load = Load::read(&String::from_utf8_lossy(&text)).map_err(|error| format!("{file}: {error}"))?;
-        all.add(load);
+        let load = RecordedLoad::parse(&String::from_utf8_lossy(&text))
+            .map_err(|error| format!("{file}: {error}"))?;
+        all.merge(load);
     }
     let mut out = std::io::stdout().lock();
     if !setups {
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -167,7 +167,7 @@
 
     /// When it wants to be woken: for IAX2 legs, for what connections wait for, at the end.
     pub(super) fn next_wake(&self) -> Option<SystemTime> {
-        let legs = self.handsets.as_ref().and_then(|h| h.endpoint.next_wake());
+        let legs = self.handsets.as_ref().and_then(|h| h.endpoint.next_timeout());
         let ready = (!self.ready.is_empty()).then_some(SystemTime::UNIX_EPOCH);
         let none = self.links.is_empty() && self.conns.is_empty() && self.closing.is_empty();
         let sweep = (!none || !self.echoes.is_empty()).then_some(self.sweep_at);
@@ -177,7 +177,7 @@
 
     /// Whether the program may end: all is answered, and IAX2 peers have it or had the time to ask again.
     pub(super) fn is_done(&self) -> bool {
-        let heard = self.handsets.as_ref().is_none_or(|h| h.endpoint.all_heard());
+        let heard = self.handsets.as_ref().is_none_or(|h| h.endpoint.all_acknowledged());
         self.done.is_some_and(|until| heard || until <= SystemTime::now())
     }
 
@@ -209,7 +209,7 @@
     /// Does what is due.
     pub(super) fn wake(&mut self) {
         let now = SystemTime::now();
-        self.on_handsets(|h, out| h.endpoint.wake(now, out));
+        self.on_handsets(|h, out| h.endpoint.handle_timeout(now, out));
         self.on_door(|door, _, _| door.sweep(now));
         if self.accept_at.is_some_and(|at| at <= now) {
             self.accept_at = None;
@@ -487,14 +487,14 @@
 
     /// Whether a way to an exchange goes over IAX2.
     fn speaks_iax2(&self, number: Number) -> bool {
-        self.handsets.as_ref().is_some_and(|h| h.iax2.speaks(number))
+        self.handsets.as_ref().is_some_and(|h| h.iax2.is_iax2_exchange(number))
     }
 
     /// Carries out what the reducer asks for.
     pub(super) fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::ToCaller { caller_conn: HANDSETS, call, message } => {
-                self.on_handsets(|h, out| h.endpoint.to_caller(SystemTime::now(), call, &message, out));
+                self.on_handsets(|h, out| h.endpoint.send_to_caller(SystemTime::now(), call, &message, out));
             }
             Effect::ToCaller { caller_conn, call, message } => {
                 self.say(Whose::Caller(caller_conn), &jsonl::write_caller(call, &message));
@@ -519,7 +519,7 @@
             Effect::ConnectExchange { exchange_conn, number, address, .. } if self.speaks_iax2(number) => {
                 let limit = self.connect_timeout;
                 self.on_handsets(|h, out| {
-                    h.endpoint.connect(SystemTime::now(), exchange_conn, address, limit, out)
+                    h.endpoint.connect_exchange(SystemTime::now(), exchange_conn, address, limit, out)
                 });
             }
             Effect::ConnectExchange { exchange_conn, address, .. } => self.dial(exchange_conn, address),
@@ -530,7 +530,7 @@
                     self.note_written(attempts);
                     connection.cut();
                 }
-                None => self.on_handsets(|h, _| h.endpoint.close(SystemTime::now(), exchange_conn)),
+                None => self.on_handsets(|h, _| h.endpoint.close_exchange(SystemTime::now(), exchange_conn)),
             },
             Effect::Reconfigure(config) => {
                 let config = *config;
@@ -580,7 +580,9 @@
             self.say(Whose::Exchange(exchange_conn), &message);
         } else {
             self.note_written(u64::from(attempt));
-            self.on_handsets(|h, out| h.endpoint.to_node(SystemTime::now(), exchange_conn, call, word, out));
+            self.on_handsets(|h, out| {
+                h.endpoint.send_to_exchange(SystemTime::now(), exchange_conn, call, word, out)
+            });
         }
     }
 
--- a/tests/common/peers.rs
+++ b/tests/common/peers.rs
@@ -8,8 +8,8 @@
 use swiftlb::config::{Config, parse_json};
 use swiftlb::engine::Input;
 use swiftlb::iax2::Iax2Config;
-use swiftlb::iax2::element::Elements;
-use swiftlb::iax2::frame::{Frame, Full, Kind, Mini, iax, read};
+use swiftlb::iax2::element::InformationElements;
+use swiftlb::iax2::frame::{Frame, FrameType, FullFrame, MiniFrame, decode as decode_frame, iax};
 use swiftlb::net::{Inbox, Message, Server};
 use tinyjson::JsonValue;
 
@@ -243,8 +243,8 @@
     pub peer: Option<SocketAddr>,
     pub local: u16,
     pub remote: u16,
-    pub oseq: u8,
-    pub iseq: u8,
+    pub oseqno: u8,
+    pub iseqno: u8,
     /// Frames that came again.
     pub repeated: usize,
 }
@@ -253,7 +253,7 @@
     pub fn new(local: u16) -> Self {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
         socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        Self { socket, peer: None, local, remote: 0, oseq: 0, iseq: 0, repeated: 0 }
+        Self { socket, peer: None, local, remote: 0, oseqno: 0, iseqno: 0, repeated: 0 }
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -263,40 +263,60 @@
     /// Leaves the leg behind: the next frames are those of another one.
     pub fn new_leg(&mut self) {
         self.local += 1;
-        (self.remote, self.oseq, self.iseq) = (0, 0, 0);
+        (self.remote, self.oseqno, self.iseqno) = (0, 0, 0);
     }
 
     /// Calls a number; the frame is given back so that it can be sent again.
-    pub fn call(&mut self, to: SocketAddr, number: &str) -> Full {
+    pub fn call(&mut self, to: SocketAddr, number: &str) -> FullFrame {
         self.peer = Some(to);
-        let elements = Elements {
+        let elements = InformationElements {
             version: Some(2),
             called_number: Some(number.to_owned()),
             called_context: Some("service".to_owned()),
             capability: Some(4),
             format: Some(4),
-            ..Elements::default()
+            ..InformationElements::default()
         };
-        self.send(Kind::Iax, iax::NEW, elements.write())
-    }
-
-    pub fn send(&mut self, kind: Kind, subclass: u32, payload: Vec<u8>) -> Full {
-        let (source, dest, oseq, iseq) = (self.local, self.remote, self.oseq, self.iseq);
-        let timestamp = 10 + 20 * u32::from(oseq);
-        let frame = Full { source, dest, again: false, timestamp, oseq, iseq, kind, subclass, payload };
-        self.oseq = self.oseq.wrapping_add(1);
+        self.send(FrameType::Iax, iax::NEW, elements.encode())
+    }
+
+    pub fn send(&mut self, frame_type: FrameType, subclass: u32, payload: Vec<u8>) -> FullFrame {
+        let (source_call, dest_call, oseqno, iseqno) = (self.local, self.remote, self.oseqno, self.iseqno);
+        let timestamp = 10 + 20 * u32::from(oseqno);
+        let frame = FullFrame {
+            source_call,
+            dest_call,
+            retransmitted: false,
+            timestamp,
+            oseqno,
+            iseqno,
+            frame_type,
+            subclass,
+            payload,
+        };
+        self.oseqno = self.oseqno.wrapping_add(1);
         self.put(&frame);
         frame
     }
 
-    pub fn put(&self, frame: &Full) {
-        self.socket.send_to(&frame.write(), self.peer.expect("a peer")).expect("sent");
+    pub fn put(&self, frame: &FullFrame) {
+        self.socket.send_to(&frame.encode(), self.peer.expect("a peer")).expect("sent");
     }
 
     fn report(&self, subclass: u32, timestamp: u32) {
-        let (source, dest, oseq, iseq) = (self.local, self.remote, self.oseq, self.iseq);
-        let (kind, payload) = (Kind::Iax, Vec::new());
-        self.put(&Full { source, dest, again: false, timestamp, oseq, iseq, kind, subclass, payload });
+        let (source_call, dest_call, oseqno, iseqno) = (self.local, self.remote, self.oseqno, self.iseqno);
+        let (frame_type, payload) = (FrameType::Iax, Vec::new());
+        self.put(&FullFrame {
+            source_call,
+            dest_call,
+            retransmitted: false,
+            timestamp,
+            oseqno,
+            iseqno,
+            frame_type,
+            subclass,
+            payload,
+        });
     }
 
     /// The next datagram, whatever it is and unanswered.
@@ -304,59 +324,59 @@
         let mut bytes = [0; 2_048];
         let (length, from) = self.socket.recv_from(&mut bytes).expect("a datagram in time");
         self.peer = Some(from);
-        read(&bytes[..length]).expect("a frame")
+        decode_frame(&bytes[..length]).expect("a frame")
     }
 
     /// The next new frame in order, acknowledged; a poke is answered on the way.
-    pub fn next(&mut self) -> Full {
+    pub fn next(&mut self) -> FullFrame {
         loop {
             let Frame::Full(frame) = self.raw() else { continue };
-            if frame.is(iax::POKE) {
-                let (source, dest) = (1, frame.source);
-                let pong = Full { source, dest, iseq: 1, subclass: iax::PONG, ..frame };
+            if frame.is_iax(iax::POKE) {
+                let (source_call, dest_call) = (1, frame.source_call);
+                let pong = FullFrame { source_call, dest_call, iseqno: 1, subclass: iax::PONG, ..frame };
                 self.put(&pong);
                 continue;
             }
             // An acknowledgement of the pong, under the number that pongs have.
-            if !frame.counts() || frame.dest == 1 {
+            if !frame.is_sequenced() || frame.dest_call == 1 {
                 continue;
             }
-            if frame.oseq != self.iseq {
+            if frame.oseqno != self.iseqno {
                 self.repeated += 1;
                 self.report(iax::ACK, frame.timestamp);
                 continue;
             }
-            self.iseq = self.iseq.wrapping_add(1);
-            self.remote = frame.source;
+            self.iseqno = self.iseqno.wrapping_add(1);
+            self.remote = frame.source_call;
             self.report(iax::ACK, frame.timestamp);
             return frame;
         }
     }
 
     /// The next new frame, which is this message.
-    pub fn expect(&mut self, kind: Kind, subclass: u32) -> Elements {
+    pub fn expect(&mut self, frame_type: FrameType, subclass: u32) -> InformationElements {
         let frame = self.next();
-        assert_eq!((frame.kind, frame.subclass), (kind, subclass), "{frame:?}");
-        if kind == Kind::Iax {
-            Elements::read(&frame.payload).expect("elements")
+        assert_eq!((frame.frame_type, frame.subclass), (frame_type, subclass), "{frame:?}");
+        if frame_type == FrameType::Iax {
+            InformationElements::decode(&frame.payload).expect("elements")
         } else {
-            Elements::default()
+            InformationElements::default()
         }
     }
 
     /// A node's reply that the call stands.
     pub fn answer(&mut self) {
-        let accept = Elements { format: Some(4), ..Elements::default() };
-        self.send(Kind::Iax, iax::ACCEPT, accept.write());
-        self.send(Kind::Control, swiftlb::iax2::frame::control::ANSWER, Vec::new());
+        let accept = InformationElements { format: Some(4), ..InformationElements::default() };
+        self.send(FrameType::Iax, iax::ACCEPT, accept.encode());
+        self.send(FrameType::Control, swiftlb::iax2::frame::control::ANSWER, Vec::new());
     }
 
-    pub fn hang_up(&mut self, cause: u8) -> Full {
-        self.send(Kind::Iax, iax::HANGUP, Elements::of_cause(cause, "").write())
+    pub fn hang_up(&mut self, cause: u8) -> FullFrame {
+        self.send(FrameType::Iax, iax::HANGUP, InformationElements::with_cause(cause, "").encode())
     }
 
     /// The next mini frame.
-    pub fn mini(&mut self) -> Mini {
+    pub fn mini(&mut self) -> MiniFrame {
         loop {
             if let Frame::Mini(mini) = self.raw() {
                 return mini;
@@ -365,16 +385,16 @@
     }
 
     /// Pokes the softswitch and takes what comes before its answer: all that was on its way here.
-    pub fn before_pong(&mut self) -> Vec<Full> {
-        let (source, kind, subclass) = (99, Kind::Iax, iax::POKE);
-        let poke = Full {
-            source,
-            dest: 0,
-            again: false,
+    pub fn before_pong(&mut self) -> Vec<FullFrame> {
+        let (source_call, frame_type, subclass) = (99, FrameType::Iax, iax::POKE);
+        let poke = FullFrame {
+            source_call,
+            dest_call: 0,
+            retransmitted: false,
             timestamp: 0,
-            oseq: 0,
-            iseq: 0,
-            kind,
+            oseqno: 0,
+            iseqno: 0,
+            frame_type,
             subclass,
             payload: vec![],
         };
@@ -382,7 +402,7 @@
         let mut seen = Vec::new();
         loop {
             match self.raw() {
-                Frame::Full(frame) if frame.is(iax::PONG) && frame.dest == 99 => return seen,
+                Frame::Full(frame) if frame.is_iax(iax::PONG) && frame.dest_call == 99 => return seen,
                 Frame::Full(frame) => seen.push(frame),
                 Frame::Mini(_) => {}
             }
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -8,7 +8,7 @@
 use desk::{Desk, LINK, name};
 use peers::{Exchange, Lines, Phone, Switch, launch};
 use swiftlb::engine::{CallerMessage, Effect, Front, Input};
-use swiftlb::iax2::frame::{Kind, control, iax};
+use swiftlb::iax2::frame::{FrameType, control, iax};
 use swiftlb::interface::{Outcome, Reason};
 use swiftlb::ops::{OperatorReply, OperatorRequest};
 
@@ -148,8 +148,8 @@
     standing.call(handsets, "17");
     let handset = exchange.next().expect("a set-up").text("uid");
     exchange.send(&format!(r#"{{"kind":"running","uid":"{handset}","meta":{{}},"body":""}}"#));
-    standing.expect(Kind::Iax, iax::ACCEPT);
-    standing.expect(Kind::Control, control::ANSWER);
+    standing.expect(FrameType::Iax, iax::ACCEPT);
+    standing.expect(FrameType::Control, control::ANSWER);
     idle.quiet();
     assert_eq!(switch.ask("PUT /ops/drain/start").0, 200);
     // Half a set-up keeps its connection; the whole of it is served, and then the connection is closed.
@@ -162,9 +162,9 @@
     caller.expect("stop", "00000000000000aa");
     assert!(caller.next().is_none());
     late.call(handsets, "17");
-    assert_eq!(late.expect(Kind::Iax, iax::REJECT).cause_code, Some(34));
+    assert_eq!(late.expect(FrameType::Iax, iax::REJECT).cause_code, Some(34));
     exchange.send(&format!(r#"{{"kind":"stop","uid":"{handset}","meta":{{}},"reason":16}}"#));
-    assert_eq!(standing.expect(Kind::Iax, iax::HANGUP).cause_code, Some(16));
+    assert_eq!(standing.expect(FrameType::Iax, iax::HANGUP).cause_code, Some(16));
     assert_eq!(switch.ask("PUT /ops/drain/stop").0, 200);
     Lines::connect(switch.address).quiet();
     let mut phone = Phone::new(40);
--- a/tests/legs.rs
+++ b/tests/legs.rs
@@ -6,8 +6,8 @@
 use proptest::prelude::RngCore;
 use proptest::test_runner::{RngAlgorithm, TestRng};
 use swiftlb::engine::{CallUid, CallerMessage, ExchangeMessage, Input};
-use swiftlb::iax2::frame::{Frame, Full, Kind, iax, read};
-use swiftlb::iax2::leg::{Heard, Leg};
+use swiftlb::iax2::frame::{Frame, FrameType, FullFrame, decode, iax};
+use swiftlb::iax2::leg::{Leg, Received};
 use swiftlb::iax2::{Endpoint, Iax2Config, Output};
 use swiftlb::interface::Outcome;
 
@@ -56,7 +56,7 @@
     fn until(&mut self, holds: impl Fn(&Self) -> bool) -> bool {
         while !holds(self) {
             let arrival = self.wire.iter().enumerate().min_by_key(|(_, d)| d.0).map(|(i, d)| (d.0, i));
-            let wakes = (0..2).filter_map(|end| self.ends[end].next_wake().map(|at| (at, end))).min();
+            let wakes = (0..2).filter_map(|end| self.ends[end].next_timeout().map(|at| (at, end))).min();
             match (arrival, wakes) {
                 (Some((at, i)), wake) if wake.is_none_or(|(wake, _)| at <= wake) => {
                     let (_, end, bytes) = self.wire.remove(i);
@@ -66,7 +66,7 @@
                 }
                 (_, Some((at, end))) => {
                     self.now = self.now.max(at);
-                    self.act(end, |endpoint, now, out| endpoint.wake(now, out));
+                    self.act(end, |endpoint, now, out| endpoint.handle_timeout(now, out));
                 }
                 _ => return false,
             }
@@ -100,7 +100,7 @@
     for seed in 0..60 {
         let mut pair = Pair::new(seed, 25);
         let call = CallUid::from_u64(7);
-        pair.act(0, |e, now, out| e.connect(now, 3, address(1), Duration::from_secs(5), out));
+        pair.act(0, |e, now, out| e.connect_exchange(now, 3, address(1), Duration::from_secs(5), out));
         let connected = |p: &Pair| p.count(0, |i| matches!(i, Input::ExchangeConnected { .. })) == 1;
         assert!(pair.until(connected), "seed {seed}");
         let (class, called_number) = ("status".to_owned(), Some("1".to_owned()));
@@ -110,17 +110,21 @@
             remaining: Duration::from_secs(3),
             description: None,
         };
-        pair.act(0, |e, now, out| e.to_node(now, 3, call, &word, out));
+        pair.act(0, |e, now, out| e.send_to_exchange(now, 3, call, &word, out));
         pair.until(|p| p.count(1, set_up) + p.count(0, ended) > 0);
         if let Some(Input::SetUp { call: far, .. }) = pair.seen[1].iter().find(|i| set_up(i)).cloned() {
             let description = None;
-            pair.act(1, |e, now, out| e.to_caller(now, far, &CallerMessage::Answered { description }, out));
+            pair.act(1, |e, now, out| {
+                e.send_to_caller(now, far, &CallerMessage::Answered { description }, out)
+            });
             pair.until(|p| p.count(0, answered) + p.count(0, ended) > 0);
-            pair.act(1, |e, now, out| e.to_caller(now, far, &CallerMessage::Released { cut: false }, out));
+            pair.act(1, |e, now, out| {
+                e.send_to_caller(now, far, &CallerMessage::Released { cut: false }, out)
+            });
         }
         pair.until(|p| p.count(0, ended) > 0);
         // Whoever ended it, both ends forget it, and no late copy brings anything back.
-        let quiet = |p: &Pair| p.wire.is_empty() && p.ends.iter().all(|e| e.legs() == 0);
+        let quiet = |p: &Pair| p.wire.is_empty() && p.ends.iter().all(|e| e.leg_count() == 0);
         assert!(pair.until(quiet), "seed {seed}: legs are left");
         assert_eq!((pair.count(0, ended), pair.count(1, set_up)), (1, 1), "seed {seed}");
         assert!(pair.count(0, answered) <= 1, "seed {seed}");
@@ -133,7 +137,7 @@
 #[test]
 fn a_set_up_that_is_given_up_unacknowledged_is_not_repeated() {
     let mut pair = Pair::new(1, 0);
-    pair.act(0, |e, now, out| e.connect(now, 3, address(1), Duration::from_secs(5), out));
+    pair.act(0, |e, now, out| e.connect_exchange(now, 3, address(1), Duration::from_secs(5), out));
     assert!(pair.until(|p| p.count(0, |i| matches!(i, Input::ExchangeConnected { .. })) == 1));
     // From here on everything is lost.
     pair.loss = 100;
@@ -145,22 +149,32 @@
         remaining: Duration::from_secs(3),
         description: None,
     };
-    pair.act(0, |e, now, out| e.to_node(now, 3, call, &word, out));
-    pair.act(0, |e, now, out| e.to_node(now, 3, call, &ExchangeMessage::Cancel, out));
+    pair.act(0, |e, now, out| e.send_to_exchange(now, 3, call, &word, out));
+    pair.act(0, |e, now, out| e.send_to_exchange(now, 3, call, &ExchangeMessage::Cancel, out));
     // The link heals: only the hang-up comes through, and the other end never saw a call.
     pair.loss = 0;
-    assert!(pair.until(|p| p.wire.is_empty() && p.ends.iter().all(|e| e.legs() == 0)));
+    assert!(pair.until(|p| p.wire.is_empty() && p.ends.iter().all(|e| e.leg_count() == 0)));
     assert_eq!(pair.count(1, set_up), 0);
 }
 
-fn frame(oseq: u8, subclass: u32, payload: Vec<u8>) -> Full {
-    let (source, dest, kind) = (9, 5, Kind::Iax);
-    Full { source, dest, again: false, timestamp: 77, oseq, iseq: 0, kind, subclass, payload }
+fn frame(oseqno: u8, subclass: u32, payload: Vec<u8>) -> FullFrame {
+    let (source_call, dest_call, frame_type) = (9, 5, FrameType::Iax);
+    FullFrame {
+        source_call,
+        dest_call,
+        retransmitted: false,
+        timestamp: 77,
+        oseqno,
+        iseqno: 0,
+        frame_type,
+        subclass,
+        payload,
+    }
 }
 
-fn only(sent: &[Vec<u8>]) -> Full {
+fn only(sent: &[Vec<u8>]) -> FullFrame {
     assert_eq!(sent.len(), 1, "{sent:?}");
-    match read(&sent[0]) {
+    match decode(&sent[0]) {
         Ok(Frame::Full(frame)) => frame,
         other => panic!("{other:?}"),
     }
@@ -169,49 +183,49 @@
 #[test]
 fn frames_come_in_order_and_once_and_gaps_are_asked_for() {
     let mut leg = Leg::new(5, 9, UNIX_EPOCH);
-    let mut take = |frame: Full| {
+    let mut take = |frame: FullFrame| {
         let mut sent = Vec::new();
         (leg.receive(UNIX_EPOCH, frame, &mut sent), sent)
     };
     let (heard, sent) = take(frame(1, iax::ACCEPT, vec![]));
-    assert_eq!((heard, only(&sent).is(iax::VNAK), only(&sent).iseq), (Heard::Nothing, true, 0));
+    assert_eq!((heard, only(&sent).is_iax(iax::VNAK), only(&sent).iseqno), (Received::Handled, true, 0));
     let first = frame(0, iax::ACCEPT, vec![]);
     let (heard, sent) = take(first.clone());
     assert_eq!(
-        (heard, only(&sent).is(iax::ACK), only(&sent).timestamp),
-        (Heard::Frame(first.clone()), true, 77)
+        (heard, only(&sent).is_iax(iax::ACK), only(&sent).timestamp),
+        (Received::Frame(first.clone()), true, 77)
     );
     let (heard, sent) = take(first);
-    assert_eq!((heard, only(&sent).is(iax::ACK)), (Heard::Nothing, true));
+    assert_eq!((heard, only(&sent).is_iax(iax::ACK)), (Received::Handled, true));
     // Questions about the link are answered with the time stamp of the question.
-    for (oseq, asked, told) in [(1, iax::PING, iax::PONG), (2, iax::LAGRQ, iax::LAGRP)] {
-        let (heard, sent) = take(frame(oseq, asked, vec![]));
+    for (oseqno, asked, told) in [(1, iax::PING, iax::PONG), (2, iax::LAGRQ, iax::LAGRP)] {
+        let (heard, sent) = take(frame(oseqno, asked, vec![]));
         let answer = only(&sent[1..]);
-        assert_eq!((heard, answer.is(told), answer.timestamp), (Heard::Nothing, true, 77));
+        assert_eq!((heard, answer.is_iax(told), answer.timestamp), (Received::Handled, true, 77));
     }
-    assert_eq!(take(frame(3, iax::INVAL, vec![])).0, Heard::Invalid);
+    assert_eq!(take(frame(3, iax::INVAL, vec![])).0, Received::UnknownCall);
 }
 
 #[test]
 fn unacknowledged_frames_are_repeated_with_back_off_until_the_peer_is_taken_for_dead() {
     let mut leg = Leg::new(5, 9, UNIX_EPOCH);
     let mut sent = Vec::new();
-    leg.send(UNIX_EPOCH, Kind::Iax, iax::ACCEPT, vec![], &mut sent);
-    leg.send(UNIX_EPOCH, Kind::Iax, iax::PING, vec![], &mut sent);
+    leg.send(UNIX_EPOCH, FrameType::Iax, iax::ACCEPT, vec![], &mut sent);
+    leg.send(UNIX_EPOCH, FrameType::Iax, iax::PING, vec![], &mut sent);
     // A report that the first has come, and that the second is missing.
     sent.clear();
-    let vnak = Full { iseq: 1, ..frame(0, iax::VNAK, vec![]) };
+    let vnak = FullFrame { iseqno: 1, ..frame(0, iax::VNAK, vec![]) };
     leg.receive(UNIX_EPOCH, vnak, &mut sent);
-    assert!(only(&sent).is(iax::PING) && only(&sent).again);
+    assert!(only(&sent).is_iax(iax::PING) && only(&sent).retransmitted);
     let mut times = Vec::new();
     let alive = loop {
-        let at = leg.next_wake(true).expect("it waits");
+        let at = leg.next_timeout(true).expect("it waits");
         sent.clear();
-        if !leg.wake(at, true, &mut sent) {
+        if !leg.handle_timeout(at, true, &mut sent) {
             break at;
         }
         times.push(at.duration_since(UNIX_EPOCH).expect("later").as_millis());
-        assert!(only(&sent).again);
+        assert!(only(&sent).retransmitted);
     };
     assert_eq!(times, [500, 1_500, 3_500, 5_500]);
     assert_eq!(alive, UNIX_EPOCH + Duration::from_millis(7_500));
@@ -221,25 +235,25 @@
 fn two_ends_that_do_not_understand_each_other_do_not_go_on_about_it() {
     let mut pair = Pair::new(1, 0);
     let payload = vec![0x0b, 2, 0, 2, 1, 1, b'1', 5, 6, b's', b't', b'a', b't', b'u', b's'];
-    let new = Full { source: 9, dest: 0, ..frame(0, iax::NEW, payload) };
-    pair.act(1, |e, now, out| e.receive(now, address(0), &new.write(), out));
+    let new = FullFrame { source_call: 9, dest_call: 0, ..frame(0, iax::NEW, payload) };
+    pair.act(1, |e, now, out| e.receive(now, address(0), &new.encode(), out));
     assert_eq!(pair.count(1, set_up), 1);
-    let number = match pair.wire.first().map(|(_, _, bytes)| read(bytes)) {
-        Some(Ok(Frame::Full(ack))) => ack.source,
+    let number = match pair.wire.first().map(|(_, _, bytes)| decode(bytes)) {
+        Some(Ok(Frame::Full(ack))) => ack.source_call,
         other => panic!("{other:?}"),
     };
     pair.wire.clear();
-    let strange = Full { dest: number, ..frame(1, iax::UNSUPPORT, vec![]) };
-    pair.act(1, |e, now, out| e.receive(now, address(0), &strange.write(), out));
-    assert!(only(&[pair.wire[0].2.clone()]).is(iax::ACK) && pair.wire.len() == 1);
+    let strange = FullFrame { dest_call: number, ..frame(1, iax::UNSUPPORT, vec![]) };
+    pair.act(1, |e, now, out| e.receive(now, address(0), &strange.encode(), out));
+    assert!(only(&[pair.wire[0].2.clone()]).is_iax(iax::ACK) && pair.wire.len() == 1);
 
     // The last message may be acknowledged by any frame; the leg is given back all the same.
     let call = match &pair.seen[1][0] {
         Input::SetUp { call, .. } => *call,
         other => panic!("{other:?}"),
     };
-    pair.act(1, |e, now, out| e.to_caller(now, call, &CallerMessage::Failed { busy: false }, out));
-    let last = Full { dest: number, kind: Kind::Text, iseq: 1, ..frame(2, 0, vec![]) };
-    pair.act(1, |e, now, out| e.receive(now, address(0), &last.write(), out));
-    assert_eq!(pair.ends[1].legs(), 0);
+    pair.act(1, |e, now, out| e.send_to_caller(now, call, &CallerMessage::Failed { busy: false }, out));
+    let last = FullFrame { dest_call: number, frame_type: FrameType::Text, iseqno: 1, ..frame(2, 0, vec![]) };
+    pair.act(1, |e, now, out| e.receive(now, address(0), &last.encode(), out));
+    assert_eq!(pair.ends[1].leg_count(), 0);
 }
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use swiftlb::load::{Load, Plan};
+use swiftlb::load::{RecordedLoad, SetUpOptions};
 use swiftlb::net::jsonl::{FromCaller, read_caller};
 
 const HAR: &str = r#"{"log":{"version":"1.2","entries":[
@@ -19,50 +19,50 @@
 
 #[test]
 fn both_formats_become_one_list_in_the_order_of_their_times() {
-    let mut load = Load::read(HAR).expect("a HAR file");
-    assert_eq!((load.offers.len(), load.skipped), (3, 1));
-    load.add(Load::read(LOG).expect("a log"));
-    let keys: Vec<&str> = load.offers.iter().map(|offer| offer.key.as_str()).collect();
+    let mut load = RecordedLoad::parse(HAR).expect("a HAR file");
+    assert_eq!((load.calls.len(), load.skipped), (3, 1));
+    load.merge(RecordedLoad::parse(LOG).expect("a log"));
+    let keys: Vec<&str> = load.calls.iter().map(|call| call.path.as_str()).collect();
     assert_eq!(keys, ["/units/7", "/", "/parts/3", "/units/7", "/a\\\"b"]);
-    let served: Vec<bool> = load.offers.iter().map(|offer| offer.served).collect();
+    let served: Vec<bool> = load.calls.iter().map(|call| call.served).collect();
     assert_eq!(served, [false, false, true, true, false]);
     let summary = load.summary();
-    assert_eq!((summary.calls, summary.skipped, summary.served, summary.keys), (5, 3, 2, 4));
-    assert_eq!((summary.span, summary.peak), (Duration::from_secs(3), 2));
-    assert_eq!(summary.median, Some(Duration::from_millis(40)));
-    assert_eq!(summary.busiest[0], ("/units/7".to_owned(), 2));
+    assert_eq!((summary.calls, summary.skipped, summary.served, summary.distinct_paths), (5, 3, 2, 4));
+    assert_eq!((summary.duration, summary.peak_per_second), (Duration::from_secs(3), 2));
+    assert_eq!(summary.median_elapsed, Some(Duration::from_millis(40)));
+    assert_eq!(summary.busiest_paths[0], ("/units/7".to_owned(), 2));
     assert!(summary.to_string().contains("1.67 a second, 2 in the busiest one"), "{summary}");
 }
 
 #[test]
 fn calls_are_printed_as_set_ups_that_the_front_reads() {
-    let load = Load::read(HAR).expect("a HAR file");
-    let left = Duration::from_secs(9);
-    let plan = Plan { class: "unit-status".to_owned(), left, dest: None, exchanges: 3 };
+    let load = RecordedLoad::parse(HAR).expect("a HAR file");
+    let remaining = Duration::from_secs(9);
+    let plan = SetUpOptions { class: "unit-status".to_owned(), remaining, dest: None, exchanges: 3 };
     let mut seen = Vec::new();
     for (at, line) in load.setups(&plan) {
         let read = read_caller(line.as_bytes(), std::time::UNIX_EPOCH);
         let Ok(FromCaller::SetUp(call, setup)) = read else { panic!("{line}") };
-        assert_eq!((setup.class.as_str(), setup.remaining), ("unit-status", Some(left)));
+        assert_eq!((setup.class.as_str(), setup.remaining), ("unit-status", Some(remaining)));
         assert!(setup.dest < 3);
         seen.push((at.as_millis(), setup.called_number, setup.dest, call));
     }
     assert_eq!(seen.iter().map(|s| s.0).collect::<Vec<_>>(), [0, 900, 2_500]);
     assert_eq!((&seen[0].1, seen[0].2), (&seen[2].1, seen[2].2), "one path is one number");
     assert_ne!(seen[0].3, seen[2].3, "every set-up has an id of its own");
-    let fixed = Plan { dest: Some(2), ..plan };
+    let fixed = SetUpOptions { dest: Some(2), ..plan };
     assert!(load.setups(&fixed).all(|(_, line)| line.contains("dest:2;")));
 }
 
 #[test]
 fn what_is_no_har_file_is_an_error_and_garbage_is_counted() {
-    assert!(Load::read("{\"log\":{}}").is_err());
-    assert!(Load::read("{\"log\":").is_err());
-    assert_eq!(Load::read("a\n[b\n[c] \"d").expect("a log").skipped, 3);
+    assert!(RecordedLoad::parse("{\"log\":{}}").is_err());
+    assert!(RecordedLoad::parse("{\"log\":").is_err());
+    assert_eq!(RecordedLoad::parse("a\n[b\n[c] \"d").expect("a log").skipped, 3);
     let whole = LOG.lines().next().expect("a line");
     for end in 1..whole.len() - 8 {
-        let load = Load::read(&whole[..end]).expect("a log");
-        assert_eq!((load.offers.len(), load.skipped), (0, 1), "{end}");
+        let load = RecordedLoad::parse(&whole[..end]).expect("a log");
+        assert_eq!((load.calls.len(), load.skipped), (0, 1), "{end}");
     }
-    assert_eq!(Load::read("").expect("an empty log"), Load::default());
+    assert_eq!(RecordedLoad::parse("").expect("an empty log"), RecordedLoad::default());
 }
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use peers::{Exchange, Lines, Phone, Switch, launch, timed};
-use swiftlb::iax2::element::Elements;
-use swiftlb::iax2::frame::{Full, Kind, Mini, control, iax};
+use swiftlb::iax2::element::InformationElements;
+use swiftlb::iax2::frame::{FrameType, FullFrame, MiniFrame, control, iax};
 use swiftlb::net::connection::{Connection, Echoes, MOST_ECHOES};
 
 const CALL: &str = "9b1f03aa5c7e2d41";
@@ -135,8 +135,8 @@
     phone.call(switch.handsets.expect("it is on"), "17");
     let handset = lines[0].next().expect("a set-up").text("uid");
     lines[0].send(&running(&handset));
-    phone.expect(Kind::Iax, iax::ACCEPT);
-    phone.expect(Kind::Control, control::ANSWER);
+    phone.expect(FrameType::Iax, iax::ACCEPT);
+    phone.expect(FrameType::Control, control::ANSWER);
     // An answer that cannot be read names the call that it is for; the connection is left all the same, the
     // call is released there and set up again.
     caller.send(&launch("00000000000000cc", 1, 3_000));
@@ -156,7 +156,7 @@
     lines[0].send(&stop(&handset, 16, ""));
     assert_ne!(caller.expect("stop", "00000000000000dd").cause(), 16.0);
     assert_eq!(caller.expect("stop", CALL).cause(), 16.0);
-    assert_eq!(phone.expect(Kind::Iax, iax::HANGUP).cause_code, Some(16));
+    assert_eq!(phone.expect(FrameType::Iax, iax::HANGUP).cause_code, Some(16));
 }
 
 #[test]
@@ -177,8 +177,8 @@
         lines[0].send(&running(uid));
     }
     caller.expect("running", CALL);
-    phone.expect(Kind::Iax, iax::ACCEPT);
-    phone.expect(Kind::Control, control::ANSWER);
+    phone.expect(FrameType::Iax, iax::ACCEPT);
+    phone.expect(FrameType::Control, control::ANSWER);
     caller.send(&stop(CALL, 16, ""));
     lines[0].expect("stop", CALL);
     phone.hang_up(16);
@@ -191,27 +191,42 @@
     let handsets = switch.handsets.expect("it is on");
     // Hostile frames, and set-ups of a number that leads nowhere, from a phone that acknowledges nothing.
     let flood = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let elements = Elements { version: Some(2), called_number: Some("9".to_owned()), ..Elements::default() };
+    let elements = InformationElements {
+        version: Some(2),
+        called_number: Some("9".to_owned()),
+        ..InformationElements::default()
+    };
     let mut phone = Phone::new(20);
     phone.peer = Some(handsets);
-    for source in 1..400_u16 {
+    for source_call in 1..400_u16 {
         // Now and then all of it has been read: what the system drops would show nothing.
-        if source.is_multiple_of(20) {
+        if source_call.is_multiple_of(20) {
             phone.before_pong();
         }
-        let (dest, again, timestamp, oseq, iseq) = (0, false, 1, 0, 0);
-        let (kind, subclass, payload) = (Kind::Iax, iax::NEW, elements.write());
-        let new = Full { source, dest, again, timestamp, oseq, iseq, kind, subclass, payload }.write();
+        let (dest_call, retransmitted, timestamp, oseqno, iseqno) = (0, false, 1, 0, 0);
+        let (frame_type, subclass, payload) = (FrameType::Iax, iax::NEW, elements.encode());
+        let new = FullFrame {
+            source_call,
+            dest_call,
+            retransmitted,
+            timestamp,
+            oseqno,
+            iseqno,
+            frame_type,
+            subclass,
+            payload,
+        }
+        .encode();
         flood.send_to(&new, handsets).expect("sent");
-        flood.send_to(&new[..usize::from(source) % new.len()], handsets).expect("sent");
-        flood.send_to(&[0xff; 40][..usize::from(source) % 40], handsets).expect("sent");
+        flood.send_to(&new[..usize::from(source_call) % new.len()], handsets).expect("sent");
+        flood.send_to(&[0xff; 40][..usize::from(source_call) % 40], handsets).expect("sent");
     }
     phone.before_pong();
     phone.call(handsets, "17");
     let call = lines[0].next().expect("a set-up").text("uid");
     lines[0].send(&running(&call));
-    phone.expect(Kind::Iax, iax::ACCEPT);
-    phone.expect(Kind::Control, control::ANSWER);
+    phone.expect(FrameType::Iax, iax::ACCEPT);
+    phone.expect(FrameType::Control, control::ANSWER);
 }
 
 #[test]
@@ -226,9 +241,9 @@
     let mut rejections = 0;
     while rejections < 2 {
         if let swiftlb::iax2::frame::Frame::Full(frame) = phone.raw()
-            && frame.is(iax::REJECT)
+            && frame.is_iax(iax::REJECT)
         {
-            assert_eq!(frame.again, rejections == 1);
+            assert_eq!(frame.retransmitted, rejections == 1);
             rejections += 1;
         }
     }
@@ -266,9 +281,9 @@
     let mut phone = Phone::new(20);
     phone.call(switch.handsets.expect("it is on"), "17");
     reset_then_answer(&mut lines);
-    phone.expect(Kind::Iax, iax::ACCEPT);
-    phone.expect(Kind::Control, control::ANSWER);
-    assert!(phone.before_pong().iter().all(|frame| !frame.counts()));
+    phone.expect(FrameType::Iax, iax::ACCEPT);
+    phone.expect(FrameType::Control, control::ANSWER);
+    assert!(phone.before_pong().iter().all(|frame| !frame.is_sequenced()));
     lines[1].quiet_exchange();
 }
 
@@ -285,11 +300,11 @@
     assert!((1_200..=2_000).contains(&left), "{left}");
     assert_eq!((setup.text("meta.class").as_str(), setup.text("meta.key").as_str()), ("lookup", "1700"));
     one.send(&running(&call));
-    phone.expect(Kind::Iax, iax::ACCEPT);
-    phone.expect(Kind::Control, control::ANSWER);
+    phone.expect(FrameType::Iax, iax::ACCEPT);
+    phone.expect(FrameType::Control, control::ANSWER);
     one.send(&stop(&call, 41, ""));
-    assert_eq!(phone.expect(Kind::Iax, iax::HANGUP).cause_code, Some(41));
-    assert!(phone.before_pong().iter().all(|frame| !frame.counts()), "more than one final outcome");
+    assert_eq!(phone.expect(FrameType::Iax, iax::HANGUP).cause_code, Some(41));
+    assert!(phone.before_pong().iter().all(|frame| !frame.is_sequenced()), "more than one final outcome");
 }
 
 #[test]
@@ -300,18 +315,18 @@
     busy.call(switch.handsets.expect("it is on"), "11");
     let call = one.next().expect("a set-up").text("uid");
     one.send(&stop(&call, 17, r#""note":"user_busy""#));
-    assert_eq!(busy.expect(Kind::Iax, iax::REJECT).cause_code, Some(17));
+    assert_eq!(busy.expect(FrameType::Iax, iax::REJECT).cause_code, Some(17));
     let mut phone = Phone::new(20);
     phone.call(switch.handsets.expect("it is on"), "1");
     let call = one.next().expect("a set-up").text("uid");
     one.send(&stop(&call, 34, r#""note":"group_full""#));
     two.expect("launch", &call);
     two.send(&stop(&call, 34, r#""note":"group_full""#));
-    let why = phone.expect(Kind::Iax, iax::REJECT);
+    let why = phone.expect(FrameType::Iax, iax::REJECT);
     assert_eq!((why.cause_code, why.cause.as_deref()), (Some(34), Some("retry after 300 ms")));
     let mut lost = Phone::new(22);
     lost.call(switch.handsets.expect("it is on"), "900");
-    assert_eq!(lost.expect(Kind::Iax, iax::REJECT).cause_code, Some(1));
+    assert_eq!(lost.expect(FrameType::Iax, iax::REJECT).cause_code, Some(1));
 }
 
 /// A softswitch whose exchange 1 is an IAX2 node, and exchange 2 speaks JSON lines.
@@ -327,13 +342,13 @@
     let (switch, mut node, _lines) = node_and_exchange();
     let mut caller = Lines::connect(switch.address);
     caller.send(&launch(CALL, 1, 2_500));
-    let setup = node.expect(Kind::Iax, iax::NEW);
+    let setup = node.expect(FrameType::Iax, iax::NEW);
     assert_eq!((setup.called_number.as_deref(), setup.version), (Some("7F3a"), Some(2)));
     node.answer();
     let answer = caller.expect("running", CALL);
     assert!(answer.text("body").contains("a=iax2-format:00000004"), "{answer:?}");
     caller.send(&stop(CALL, 16, ""));
-    assert_eq!(node.expect(Kind::Iax, iax::HANGUP).cause_code, Some(16));
+    assert_eq!(node.expect(FrameType::Iax, iax::HANGUP).cause_code, Some(16));
     caller.quiet();
 }
 
@@ -342,8 +357,8 @@
     let (switch, mut node, mut two) = node_and_exchange();
     let mut caller = Lines::connect(switch.address);
     caller.send(&launch(CALL, 1, 2_500));
-    node.expect(Kind::Iax, iax::NEW);
-    node.send(Kind::Iax, iax::REJECT, Elements::of_cause(34, "").write());
+    node.expect(FrameType::Iax, iax::NEW);
+    node.send(FrameType::Iax, iax::REJECT, InformationElements::with_cause(34, "").encode());
     two.expect("launch", CALL);
     two.send(&running(CALL));
     caller.expect("running", CALL);
@@ -352,8 +367,12 @@
     let (switch, mut node, mut two) = node_and_exchange();
     let mut caller = Lines::connect(switch.address);
     caller.send(&launch(CALL, 1, 2_500));
-    node.expect(Kind::Iax, iax::NEW);
-    node.send(Kind::Iax, iax::REJECT, Elements::of_cause(42, "retry after 2000 ms").write());
+    node.expect(FrameType::Iax, iax::NEW);
+    node.send(
+        FrameType::Iax,
+        iax::REJECT,
+        InformationElements::with_cause(42, "retry after 2000 ms").encode(),
+    );
     let refused = caller.expect("stop", CALL);
     assert_eq!((refused.cause(), refused.text("meta.wait").as_str()), (34.0, "300"));
     caller.quiet();
@@ -365,10 +384,10 @@
     let (switch, mut node, _two) = node_and_exchange();
     let mut caller = Lines::connect(switch.address);
     caller.send(&launch(CALL, 1, 2_500));
-    node.expect(Kind::Iax, iax::NEW);
+    node.expect(FrameType::Iax, iax::NEW);
     node.answer();
     caller.expect("running", CALL);
-    node.send(Kind::Iax, iax::INVAL, vec![]);
+    node.send(FrameType::Iax, iax::INVAL, vec![]);
     assert_eq!(caller.expect("stop", CALL).cause(), 41.0);
     caller.quiet();
 }
@@ -378,23 +397,23 @@
     let (switch, mut node, _lines) = node_and_exchange();
     let mut phone = Phone::new(20);
     phone.call(switch.handsets.expect("it is on"), "1");
-    assert_eq!(node.expect(Kind::Iax, iax::NEW).format, Some(4));
+    assert_eq!(node.expect(FrameType::Iax, iax::NEW).format, Some(4));
     node.answer();
-    assert_eq!(phone.expect(Kind::Iax, iax::ACCEPT).format, Some(4));
-    phone.expect(Kind::Control, control::ANSWER);
-    phone.send(Kind::Voice, 4, vec![1; 160]);
+    assert_eq!(phone.expect(FrameType::Iax, iax::ACCEPT).format, Some(4));
+    phone.expect(FrameType::Control, control::ANSWER);
+    phone.send(FrameType::Voice, 4, vec![1; 160]);
     let voice = node.next();
-    assert_eq!((voice.kind, voice.subclass, voice.payload), (Kind::Voice, 4, vec![1; 160]));
-    let stamp = phone.oseq as u16 * 20;
-    let mini = Mini { source: phone.local, timestamp: stamp, payload: vec![2; 160] };
-    phone.socket.send_to(&mini.write(), phone.peer.expect("a peer")).expect("sent");
+    assert_eq!((voice.frame_type, voice.subclass, voice.payload), (FrameType::Voice, 4, vec![1; 160]));
+    let stamp = phone.oseqno as u16 * 20;
+    let mini = MiniFrame { source_call: phone.local, timestamp: stamp, payload: vec![2; 160] };
+    phone.socket.send_to(&mini.encode(), phone.peer.expect("a peer")).expect("sent");
     assert_eq!(node.mini().payload, vec![2; 160]);
-    node.send(Kind::Voice, 4, vec![3; 160]);
+    node.send(FrameType::Voice, 4, vec![3; 160]);
     assert_eq!(phone.next().payload, vec![3; 160]);
-    phone.send(Kind::Dtmf, u32::from(b'5'), vec![]);
+    phone.send(FrameType::Dtmf, u32::from(b'5'), vec![]);
     assert_eq!(node.next().subclass, u32::from(b'5'));
     node.hang_up(16);
-    assert_eq!(phone.expect(Kind::Iax, iax::HANGUP).cause_code, Some(16));
+    assert_eq!(phone.expect(FrameType::Iax, iax::HANGUP).cause_code, Some(16));
 }
 
 #[test]
@@ -403,19 +422,19 @@
     let mut phone = Phone::new(20);
     phone.call(switch.handsets.expect("it is on"), "1");
     // The node takes the set-up and says nothing more of it.
-    node.expect(Kind::Iax, iax::NEW);
+    node.expect(FrameType::Iax, iax::NEW);
     let raw = phone.raw();
-    let acked = matches!(raw, swiftlb::iax2::frame::Frame::Full(Full { subclass: iax::ACK, .. }));
+    let acked = matches!(raw, swiftlb::iax2::frame::Frame::Full(FullFrame { subclass: iax::ACK, .. }));
     assert!(acked, "{raw:?}");
     phone.hang_up(16);
-    assert_eq!(node.expect(Kind::Iax, iax::HANGUP).cause_code, Some(16));
+    assert_eq!(node.expect(FrameType::Iax, iax::HANGUP).cause_code, Some(16));
     // The stalled node wakes up and answers the dead call: nobody is told, nothing is sent again.
     node.answer();
     let mut caller = Lines::connect(switch.address);
     caller.quiet();
     two.quiet_exchange();
     let owed = phone.before_pong();
-    assert!(owed.iter().all(|frame| !frame.counts()), "told after hanging up: {owed:?}");
+    assert!(owed.iter().all(|frame| !frame.is_sequenced()), "told after hanging up: {owed:?}");
 }
 
 #[test]
@@ -429,7 +448,7 @@
     assert_eq!(one.expect("stop", &call).cause(), 16.0);
     one.send(&running(&call));
     let owed = phone.before_pong();
-    assert!(owed.iter().all(|frame| !frame.counts()), "told after hanging up: {owed:?}");
+    assert!(owed.iter().all(|frame| !frame.is_sequenced()), "told after hanging up: {owed:?}");
     two.quiet_exchange();
 }
 
@@ -438,19 +457,19 @@
     let (switch, mut node, mut two) = node_and_exchange();
     let mut phone = Phone::new(20);
     phone.call(switch.handsets.expect("it is on"), "1");
-    node.expect(Kind::Iax, iax::NEW);
+    node.expect(FrameType::Iax, iax::NEW);
     let (_, waited) = timed(|| {
-        node.send(Kind::Iax, iax::HANGUP, Elements::of_cause(41, "").write());
+        node.send(FrameType::Iax, iax::HANGUP, InformationElements::with_cause(41, "").encode());
         // The set-up that comes again is a leg of its own.
         node.new_leg();
-        node.expect(Kind::Iax, iax::NEW)
+        node.expect(FrameType::Iax, iax::NEW)
     });
     assert!(waited >= PAUSE, "{waited:?}");
     node.answer();
     two.quiet_exchange();
-    phone.expect(Kind::Iax, iax::ACCEPT);
-    phone.expect(Kind::Control, control::ANSWER);
-    assert!(phone.before_pong().iter().all(|frame| !frame.counts()), "more than one final outcome");
+    phone.expect(FrameType::Iax, iax::ACCEPT);
+    phone.expect(FrameType::Control, control::ANSWER);
+    assert!(phone.before_pong().iter().all(|frame| !frame.is_sequenced()), "more than one final outcome");
 }
 
 #[test]
@@ -459,13 +478,13 @@
     let mut phone = Phone::new(20);
     let (why, waited) = timed(|| {
         phone.call(switch.handsets.expect("it is on"), "1");
-        node.expect(Kind::Iax, iax::NEW);
-        phone.expect(Kind::Iax, iax::REJECT)
+        node.expect(FrameType::Iax, iax::NEW);
+        phone.expect(FrameType::Iax, iax::REJECT)
     });
     assert_eq!(why.cause_code, Some(41));
     // 2 s for this class. How punctual it is shows under virtual time; a busy machine may be late here.
     assert!((Duration::from_millis(1_990)..Duration::from_secs(4)).contains(&waited), "{waited:?}");
-    assert_eq!(node.expect(Kind::Iax, iax::HANGUP).cause_code, Some(16));
+    assert_eq!(node.expect(FrameType::Iax, iax::HANGUP).cause_code, Some(16));
 }
 
 #[test]
@@ -474,41 +493,41 @@
     let mut phone = Phone::new(20);
     // The first set-up reaches us three times.
     let new = phone.call(switch.handsets.expect("it is on"), "2");
-    phone.put(&Full { again: true, ..new.clone() });
+    phone.put(&FullFrame { retransmitted: true, ..new.clone() });
     phone.put(&new);
     let call = two.next().expect("a set-up").text("uid");
     two.send(&stop(&call, 17, r#""note":"user_busy""#));
     // The rejection is not acknowledged the first time: it comes again, as a repetition.
     let rejection = loop {
         if let swiftlb::iax2::frame::Frame::Full(frame) = phone.raw()
-            && frame.is(iax::REJECT)
+            && frame.is_iax(iax::REJECT)
         {
             break frame;
         }
     };
-    assert!(!rejection.again);
-    assert_eq!(phone.expect(Kind::Iax, iax::REJECT).cause_code, Some(17));
+    assert!(!rejection.retransmitted);
+    assert_eq!(phone.expect(FrameType::Iax, iax::REJECT).cause_code, Some(17));
     // A copy of the set-up that was long on its way is no new call.
     phone.put(&new);
-    assert!(phone.before_pong().iter().all(|frame| !frame.counts()));
+    assert!(phone.before_pong().iter().all(|frame| !frame.is_sequenced()));
     two.quiet_exchange();
     // Toward a node: the set-up gets lost once and comes again; a repeated answer is one answer.
     let mut caller = Lines::connect(switch.address);
     caller.send(&launch(CALL, 1, 2_500));
     let first = loop {
         match node.raw() {
-            swiftlb::iax2::frame::Frame::Full(frame) if frame.is(iax::NEW) => break frame,
-            swiftlb::iax2::frame::Frame::Full(frame) if frame.is(iax::POKE) => {
-                let (source, dest) = (1, frame.source);
-                node.put(&Full { source, dest, iseq: 1, subclass: iax::PONG, ..frame });
+            swiftlb::iax2::frame::Frame::Full(frame) if frame.is_iax(iax::NEW) => break frame,
+            swiftlb::iax2::frame::Frame::Full(frame) if frame.is_iax(iax::POKE) => {
+                let (source_call, dest_call) = (1, frame.source_call);
+                node.put(&FullFrame { source_call, dest_call, iseqno: 1, subclass: iax::PONG, ..frame });
             }
             _ => {}
         }
     };
-    assert!(!first.again);
-    assert_eq!(node.expect(Kind::Iax, iax::NEW).called_number.as_deref(), Some("7F3a"));
-    node.send(Kind::Iax, iax::ACCEPT, vec![]);
-    let answer = node.send(Kind::Control, control::ANSWER, vec![]);
+    assert!(!first.retransmitted);
+    assert_eq!(node.expect(FrameType::Iax, iax::NEW).called_number.as_deref(), Some("7F3a"));
+    node.send(FrameType::Iax, iax::ACCEPT, vec![]);
+    let answer = node.send(FrameType::Control, control::ANSWER, vec![]);
     node.put(&answer);
     caller.expect("running", CALL);
     caller.quiet();
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -11,7 +11,7 @@
 
 use peers::{Exchange, Lines, Phone, Switch, hear, launch, timed};
 use proptest::prelude::*;
-use swiftlb::iax2::frame::{Kind, iax};
+use swiftlb::iax2::frame::{FrameType, iax};
 use swiftlb::ops::{self, MAX_HEAD_BYTES, OperatorRequest, RequestError};
 
 const CALL: &str = "9b1f03aa5c7e2d41";
@@ -101,7 +101,7 @@
     let handset = exchange.next().expect("a set-up").text("uid");
     exchange
         .send(&format!(r#"{{"kind":"stop","uid":"{handset}","meta":{{"note":"user_busy"}},"reason":17}}"#));
-    phone.expect(Kind::Iax, iax::REJECT);
+    phone.expect(FrameType::Iax, iax::REJECT);
     for (name, value) in [
         (of("status", "completed"), "1"),
         (of("status", "rejected"), "1"),
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -10,8 +10,8 @@
 use proptest::test_runner::{Config as Cases, RngAlgorithm, TestRng, TestRunner};
 use swiftlb::config::{Config, parse_json};
 use swiftlb::engine::{CallUid, CallerMessage, ExchangeMessage, Input, ListEntry, SiblingMessage};
-use swiftlb::iax2::element::{Elements, advice, cause_of, end_of};
-use swiftlb::iax2::frame::{Frame, FrameError, Full, Kind, Mini, iax, read};
+use swiftlb::iax2::element::{InformationElements, cause_elements, outcome_of, parse_retry_after};
+use swiftlb::iax2::frame::{Frame, FrameError, FrameType, FullFrame, MiniFrame, decode, iax};
 use swiftlb::iax2::{Endpoint, Iax2Config, Output};
 use swiftlb::interface::{Outcome, Readiness, Reason};
 use swiftlb::net::jsonl::{
@@ -83,7 +83,7 @@
     }
     let garbage = |bytes: Vec<u8>| {
         let _ = (read_caller(&bytes, UNIX_EPOCH), read_exchange(&bytes, &report()));
-        let _ = (dns::read_answer(&[1], &bytes, &[]), read(&bytes), Elements::read(&bytes));
+        let _ = (dns::read_answer(&[1], &bytes, &[]), decode(&bytes), InformationElements::decode(&bytes));
         let text = String::from_utf8_lossy(&bytes);
         prop_assert!(Config::parse(&text).is_err());
         Ok(())
@@ -215,18 +215,21 @@
 #[test]
 fn frames_have_the_layout_of_the_specification() {
     let bytes = [0x80, 0x05, 0x80, 0x07, 0, 0, 1, 2, 3, 4, 6, 1, 0x0b, 2, 0, 2];
-    let Ok(Frame::Full(frame)) = read(&bytes) else { panic!() };
-    assert_eq!((frame.source, frame.dest, frame.again, frame.timestamp), (5, 7, true, 0x102));
-    assert_eq!((frame.oseq, frame.iseq, frame.is(iax::NEW)), (3, 4, true));
-    assert_eq!(Elements::read(&frame.payload).expect("elements").version, Some(2));
-    assert_eq!(frame.write(), bytes);
-    let Ok(Frame::Full(h264)) = read(&[0x80, 1, 0, 0, 0, 0, 0, 0, 0, 0, 3, 0x95]) else { panic!() };
-    assert_eq!((h264.kind, h264.subclass, h264.write()[11]), (Kind::Video, 1 << 21, 0x95));
-    let mini = Mini { source: 5, timestamp: 0x1234, payload: vec![9] };
-    assert_eq!((mini.write(), read(&mini.write())), (vec![0, 5, 0x12, 0x34, 9], Ok(Frame::Mini(mini))));
-    assert_eq!(read(&[0, 0, 1, 1, 0, 0]), Err(FrameError::Meta));
+    let Ok(Frame::Full(frame)) = decode(&bytes) else { panic!() };
+    assert_eq!(
+        (frame.source_call, frame.dest_call, frame.retransmitted, frame.timestamp),
+        (5, 7, true, 0x102)
+    );
+    assert_eq!((frame.oseqno, frame.iseqno, frame.is_iax(iax::NEW)), (3, 4, true));
+    assert_eq!(InformationElements::decode(&frame.payload).expect("elements").version, Some(2));
+    assert_eq!(frame.encode(), bytes);
+    let Ok(Frame::Full(h264)) = decode(&[0x80, 1, 0, 0, 0, 0, 0, 0, 0, 0, 3, 0x95]) else { panic!() };
+    assert_eq!((h264.frame_type, h264.subclass, h264.encode()[11]), (FrameType::Video, 1 << 21, 0x95));
+    let mini = MiniFrame { source_call: 5, timestamp: 0x1234, payload: vec![9] };
+    assert_eq!((mini.encode(), decode(&mini.encode())), (vec![0, 5, 0x12, 0x34, 9], Ok(Frame::Mini(mini))));
+    assert_eq!(decode(&[0, 0, 1, 1, 0, 0]), Err(FrameError::MetaFrame));
     for end in 0..12 {
-        assert!(read(&bytes[..end]).is_err(), "{end}");
+        assert!(decode(&bytes[..end]).is_err(), "{end}");
     }
 }
 
@@ -237,7 +240,7 @@
     let numbers = (any::<Option<u32>>(), any::<Option<u32>>(), any::<Option<u16>>(), any::<Option<u8>>());
     let texts = (any_text(), any_text(), any_text(), any_text());
     let both = |((called, calling, context, cause), (capability, format, version, code))| {
-        let elements = Elements {
+        let elements = InformationElements {
             called_number: called,
             calling_number: calling,
             called_context: context,
@@ -248,31 +251,37 @@
             cause_code: code,
             unknown: None,
         };
-        let bytes = elements.write();
-        prop_assert_eq!(Elements::read(&bytes), Ok(elements));
+        let bytes = elements.encode();
+        prop_assert_eq!(InformationElements::decode(&bytes), Ok(elements));
         Ok(())
     };
     runner(4).run(&(texts, numbers), both).expect("the same elements");
-    assert_eq!(Elements::read(&[1, 5, b'1']), Err(FrameError::Element(1)));
-    assert_eq!(Elements::read(&[1]), Err(FrameError::Element(1)));
+    assert_eq!(InformationElements::decode(&[1, 5, b'1']), Err(FrameError::TruncatedElement(1)));
+    assert_eq!(InformationElements::decode(&[1]), Err(FrameError::TruncatedElement(1)));
 }
 
 #[test]
 fn causes_and_advice_mean_the_same_in_both_directions() {
-    let refused = cause_of(&CallerMessage::Refused { retry_after: Duration::from_millis(700) });
-    assert_eq!(end_of(&refused), (Outcome::Congested, Reason::ProcessorFull(700.0)));
-    assert_eq!(end_of(&cause_of(&CallerMessage::Failed { busy: true })), (Outcome::Busy, Reason::UserBusy));
+    let refused = cause_elements(&CallerMessage::Refused { retry_after: Duration::from_millis(700) });
+    assert_eq!(outcome_of(&refused), (Outcome::Congested, Reason::ProcessorFull(700.0)));
+    assert_eq!(
+        outcome_of(&cause_elements(&CallerMessage::Failed { busy: true })),
+        (Outcome::Busy, Reason::UserBusy)
+    );
     assert_eq!(
-        end_of(&cause_of(&CallerMessage::Released { cut: true })),
+        outcome_of(&cause_elements(&CallerMessage::Released { cut: true })),
         (Outcome::Reset, Reason::Unspecified)
     );
     assert_eq!(
-        end_of(&cause_of(&CallerMessage::Released { cut: false })),
+        outcome_of(&cause_elements(&CallerMessage::Released { cut: false })),
         (Outcome::Completed, Reason::Unspecified)
     );
-    assert_eq!(end_of(&Elements::of_cause(34, "")), (Outcome::Congested, Reason::NoCircuit));
-    assert_eq!(end_of(&Elements::of_cause(102, "")), (Outcome::NotSent, Reason::Unspecified));
-    assert_eq!(advice("retry after 99999999999999999999999 ms"), None);
+    assert_eq!(outcome_of(&InformationElements::with_cause(34, "")), (Outcome::Congested, Reason::NoCircuit));
+    assert_eq!(
+        outcome_of(&InformationElements::with_cause(102, "")),
+        (Outcome::NotSent, Reason::Unspecified)
+    );
+    assert_eq!(parse_retry_after("retry after 99999999999999999999999 ms"), None);
 }
 
 #[test]
@@ -287,13 +296,13 @@
         }
         let set_ups = out.inputs.iter().filter(|input| matches!(input, Input::SetUp { .. })).count();
         prop_assert!(set_ups <= datagrams.len() && out.datagrams.len() <= 3 * datagrams.len());
-        endpoint.wake(UNIX_EPOCH + Duration::from_secs(60), &mut out);
+        endpoint.handle_timeout(UNIX_EPOCH + Duration::from_secs(60), &mut out);
         Ok(())
     };
     // Whole headers with random fields reach deeper than plain garbage.
     let frame = (0u8..4, 0u8..4, 0u8..3, 0u8..3, 0u8..7, 0u8..0x23, vec(any::<u8>(), 0..12));
-    let frame = frame.prop_map(|(source, dest, oseq, iseq, kind, subclass, payload)| {
-        let mut bytes = vec![0x80, source, 0, dest, 0, 0, 0, 1, oseq, iseq, kind, subclass];
+    let frame = frame.prop_map(|(source, dest, oseqno, iseqno, kind, subclass, payload)| {
+        let mut bytes = vec![0x80, source, 0, dest, 0, 0, 0, 1, oseqno, iseqno, kind, subclass];
         bytes.extend(payload);
         bytes
     });
@@ -301,33 +310,34 @@
     runner(5).run(&vec(datagram, 0..30), garbage).expect("no panic");
     let mut endpoint = Endpoint::new(config(), 0, 1);
     let mut out = Output::default();
-    let (kind, payload) = (Kind::Iax, vec![0x0b, 2, 0, 2, 5, 7, b's', b'e', b'r', b'v', b'i', b'c', b'e']);
-    let new = Full {
-        source: 3,
-        dest: 0,
-        again: false,
+    let (frame_type, payload) =
+        (FrameType::Iax, vec![0x0b, 2, 0, 2, 5, 7, b's', b'e', b'r', b'v', b'i', b'c', b'e']);
+    let new = FullFrame {
+        source_call: 3,
+        dest_call: 0,
+        retransmitted: false,
         timestamp: 1,
-        oseq: 0,
-        iseq: 0,
-        kind,
+        oseqno: 0,
+        iseqno: 0,
+        frame_type,
         subclass: iax::NEW,
         payload,
     };
-    endpoint.receive(UNIX_EPOCH, from, &new.write(), &mut out);
+    endpoint.receive(UNIX_EPOCH, from, &new.encode(), &mut out);
     assert!(matches!(out.inputs[..], [Input::SetUp { .. }]));
     // A caller that is never heard again costs its leg no more than some repetitions.
     let call = match &out.inputs[0] {
         Input::SetUp { call, .. } => *call,
         _ => return,
     };
-    endpoint.to_caller(UNIX_EPOCH, call, &CallerMessage::Failed { busy: false }, &mut out);
+    endpoint.send_to_caller(UNIX_EPOCH, call, &CallerMessage::Failed { busy: false }, &mut out);
     let mut now = UNIX_EPOCH;
-    while let Some(at) = endpoint.next_wake() {
+    while let Some(at) = endpoint.next_timeout() {
         assert!(at <= UNIX_EPOCH + Duration::from_secs(8), "a dead peer is kept for too long");
         now = now.max(at);
-        endpoint.wake(now, &mut out);
+        endpoint.handle_timeout(now, &mut out);
     }
-    assert_eq!(endpoint.legs(), 0);
+    assert_eq!(endpoint.leg_count(), 0);
 }
 
 #[test]
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -2,8 +2,8 @@
 
 #[path = "common/desk.rs"]
 mod desk;
-#[path = "common/draw.rs"]
-mod draw;
+#[path = "common/rng.rs"]
+mod rng;
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use desk::{Desk, LINK, entry, name};
-use draw::Draw;
+use rng::SplitMix64;
 use swiftlb::edge::{Edge, EdgeError};
 use swiftlb::engine::{CallerMessage, Effect, Input};
 use swiftlb::interface::{Outcome, Readiness, Reason};
@@ -227,7 +227,7 @@
 #[test]
 fn any_history_is_told_whole() {
     for seed in 0..30 {
-        let mut draw = Draw(seed);
+        let mut draw = SplitMix64(seed);
         let mut desk = recording(4);
         for place in 1..4 {
             let exchange_conn = desk.way(place);
--- a/tests/replacement.rs
+++ b/tests/replacement.rs
@@ -21,7 +21,7 @@
     CallerMessage, Effect, Engine, ExchangeMessage, Front, HandoverState, Input, SiblingMessage,
 };
 use swiftlb::iax2::Iax2Config;
-use swiftlb::iax2::frame::{Kind, iax};
+use swiftlb::iax2::frame::{FrameType, iax};
 use swiftlb::interface::{Event, ListUpdateKind, ListedExchange, Outcome, Readiness, Reason};
 use swiftlb::net::handover;
 
@@ -379,7 +379,7 @@
     phone.socket.set_read_timeout(Some(Duration::from_secs(8))).expect("a time-out");
     let handset = at_new.next().expect("a set-up").text("uid");
     at_new.send(&format!(r#"{{"kind":"running","uid":"{handset}","meta":{{}},"body":""}}"#));
-    phone.expect(Kind::Iax, iax::ACCEPT);
+    phone.expect(FrameType::Iax, iax::ACCEPT);
     set_up(&mut caller, &mut at_new, "00000000000000b2");
     assert_eq!(ask(new.door, "GET /ops/readiness").0, 200);
     // The next one finds it, and it serves on when that dies.
