--- a/benches/recording.rs
+++ b/benches/recording.rs
@@ -3,60 +3,60 @@
 //!
 //! `cargo bench --bench recording`
 
-#[path = "../tests/common/desk.rs"]
-mod desk;
+#[path = "../tests/common/engine_harness.rs"]
+mod engine_harness;
 
 use std::hint::black_box;
 use std::time::Duration;
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use desk::{Desk, LINK, name};
+use engine_harness::{CALLER_CONN, EngineHarness, call_uid};
 use swiftlb::engine::{Effect, Input};
 use swiftlb_record::{Head, Recorder, Settings};
 
 /// A call to exchange 1: set-up, news of the group, answer, release, news again.
-fn call(desk: &mut Desk, number: u64, mut keep: impl FnMut(Effect)) {
-    desk.now += Duration::from_millis(16);
-    let exchange_conn = desk.way(1);
-    desk.call(number, 1, 2_000);
-    desk.put(Input::GroupState { exchange_conn, report: vec![(number % 50) as f64 + 10.0, 100.0] });
-    desk.now += Duration::from_millis(40);
-    desk.answer(number, 1);
-    desk.put(Input::HangUp { caller_conn: LINK, call: name(number), cause: 16 });
-    desk.put(Input::GroupState { exchange_conn, report: vec![(number % 50) as f64 + 11.0, 100.0] });
-    desk.forget_setups();
-    desk.seen.drain(..).for_each(&mut keep);
+fn call(harness: &mut EngineHarness, number: u64, mut keep: impl FnMut(Effect)) {
+    harness.now += Duration::from_millis(16);
+    let exchange_conn = harness.exchange_conn(1);
+    harness.place_call(number, 1, 2_000);
+    harness.handle(Input::GroupState { exchange_conn, report: vec![(number % 50) as f64 + 10.0, 100.0] });
+    harness.now += Duration::from_millis(40);
+    harness.answer(number, 1);
+    harness.handle(Input::HangUp { caller_conn: CALLER_CONN, call: call_uid(number), cause: 16 });
+    harness.handle(Input::GroupState { exchange_conn, report: vec![(number % 50) as f64 + 11.0, 100.0] });
+    harness.clear_setups();
+    harness.effects.drain(..).for_each(&mut keep);
 }
 
 fn recording(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("call");
     group.measurement_time(Duration::from_secs(5));
     let mut number = 0;
-    let mut desk = Desk::new(7);
+    let mut harness = EngineHarness::new(7);
     group.bench_function("records off", |bencher| {
         bencher.iter(|| {
             number += 1;
-            call(&mut desk, number, |effect| drop(black_box(effect)));
+            call(&mut harness, number, |effect| drop(black_box(effect)));
         });
     });
-    let mut desk = Desk::new(7);
-    desk.engine.record(false, &mut Vec::new());
+    let mut harness = EngineHarness::new(7);
+    harness.engine.start_recording(false, &mut Vec::new());
     group.bench_function("records made", |bencher| {
         bencher.iter(|| {
             number += 1;
-            call(&mut desk, number, |effect| drop(black_box(effect)));
+            call(&mut harness, number, |effect| drop(black_box(effect)));
         });
     });
     let folder = std::env::temp_dir().join(format!("swiftlb-bench-{}", std::process::id()));
     let settings = Settings { directory: folder.clone(), budget_bytes: 256 << 20, ..Settings::default() };
     let recorder = Recorder::start(settings, Head::of("n0", 0, 1), |error| panic!("{error}"));
     let mut recorder = recorder.expect("a folder");
-    let mut desk = Desk::new(7);
-    desk.engine.record(false, &mut Vec::new());
+    let mut harness = EngineHarness::new(7);
+    harness.engine.start_recording(false, &mut Vec::new());
     group.bench_function("records written", |bencher| {
         bencher.iter(|| {
             number += 1;
-            call(&mut desk, number, |effect| match effect {
+            call(&mut harness, number, |effect| match effect {
                 Effect::Record(record) => recorder.record(record),
                 effect => drop(black_box(effect)),
             });
--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -176,7 +176,7 @@
         let config = Config::parse(&node.config(serial, &list)).expect("a configuration");
         let mut effects = Vec::new();
         let mut engine = Engine::new(&config, at(self.now), &mut effects).expect("settings that make sense");
-        engine.record(false, &mut effects);
+        engine.start_recording(false, &mut effects);
         let run_us = self.shows(switch, (EPOCH + self.now).as_micros() as u64);
         let head = Head::of(&format!("n{switch}"), switch as u32, run_us);
         let writer = FileWriter::create(Vec::new(), &head).expect("memory");
--- a/src/config.rs
+++ b/src/config.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 use tinyjson::JsonValue;
 
-use crate::engine::{ListEntry, span};
+use crate::engine::{ListEntry, duration_from_ms};
 use crate::interface::{Class, LoadReportMode, Readiness, ReportField, Settings, Tenant};
 
 /// What is wrong with a configuration.
@@ -104,10 +104,10 @@
             known: read_known(&known, &zones)?,
             classes: classes
                 .iter()
-                .map(|c| Ok((c.text("name")?, span(c.number("hardLimitMs")?))))
+                .map(|c| Ok((c.text("name")?, duration_from_ms(c.number("hardLimitMs")?))))
                 .collect::<Result<_, ConfigError>>()?,
             report: settings.get("report")?.get("fields")?.texts()?,
-            connect_timeout: span(settings.get("policyLimits")?.number("connectTimeoutMs")?),
+            connect_timeout: duration_from_ms(settings.get("policyLimits")?.number("connectTimeoutMs")?),
             zones,
             settings: read_settings(&settings)?,
         })
@@ -345,7 +345,7 @@
         address: member.text("host_port")?.parse()?,
         number: member.size("cell")? as u32,
         zone: zone_index(zones, &member.text("locality")?),
-        started_at: (born > 0.0).then(|| std::time::UNIX_EPOCH + span(born)),
+        started_at: (born > 0.0).then(|| std::time::UNIX_EPOCH + duration_from_ms(born)),
         readiness: member.choice("phase", &states)?,
     })
 }
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -20,20 +20,20 @@
 };
 use crate::ops::{Figures, Now, OperatorReply, OperatorRequest};
 
+mod exchanges;
 mod messages;
-mod notes;
-mod peers;
-mod twin;
-mod view;
+mod recording;
+mod sibling;
+mod status;
 
+use exchanges::{Conn, Peer, QUIET, Way};
 pub use messages::{
     CallUid, CallerConnId, CallerMessage, Effect, ExchangeConnId, ExchangeMessage, Front, HandoverState,
     Input, ListEntry, SetUp, SiblingMessage,
 };
-use notes::{LastEnd, Notes};
-use peers::{Conn, Peer, QUIET, Way};
+use recording::{LastEnd, Notes};
+use sibling::Role;
 use swiftlb_record::{DrainSource, Event as Recorded, FailureReason, RefusalReason, ReleasedBy};
-use twin::Role;
 
 /// A final answer that the module has not given this long after the caller's time is given for it: well
 /// inside the 50 ms that the rules allow on sockets.
@@ -91,7 +91,7 @@
 const FORGET: Duration = Duration::from_secs(30);
 
 /// Milliseconds of a span, as the module counts them.
-pub fn millis(span: Duration) -> f64 {
+pub fn duration_to_ms(span: Duration) -> f64 {
     span.as_secs_f64() * 1_000.0
 }
 
@@ -100,14 +100,14 @@
 const LONGEST_SPAN: f64 = 1e11;
 
 /// A span of the module's milliseconds; whatever is no time at all counts as zero.
-pub fn span(ms: f64) -> Duration {
+pub fn duration_from_ms(ms: f64) -> Duration {
     let seconds = if ms.is_finite() { ms / 1_000.0 } else { 0.0 };
     Duration::from_secs_f64(seconds.clamp(0.0, LONGEST_SPAN))
 }
 
 /// The module's clock: milliseconds since 1970.
 fn clock(at: SystemTime) -> f64 {
-    millis(since(UNIX_EPOCH, at))
+    duration_to_ms(since(UNIX_EPOCH, at))
 }
 
 /// Time from one moment to a later one; zero if the clock was set back between them.
@@ -323,12 +323,12 @@
     }
 
     /// Calls that stand or wait, for the log.
-    pub fn calls(&self) -> usize {
+    pub fn call_count(&self) -> usize {
         self.calls.len()
     }
 
     /// Everything that it holds, counted: what must not grow for ever.
-    pub fn entries(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         let peers = self.peers.values().map(|peer| 1 + peer.releases.len()).sum::<usize>();
         let names = self.by_name.len() + self.by_peer_name.len() + self.over.len() + self.over_names.len();
         let ways = self.conns.len() + self.links.len() + self.held.len() + self.fresh.len();
@@ -498,9 +498,9 @@
         self.figures.know(config.classes.iter().map(|(name, _)| name.clone()));
         self.home = set.home;
         self.try_limit = set.attempt_limit;
-        self.release_pause = span(set.release_pause_ms);
-        self.drain_grace = span(set.drain_grace_ms);
-        self.most_wait = span(set.max_retry_after_ms);
+        self.release_pause = duration_from_ms(set.release_pause_ms);
+        self.drain_grace = duration_from_ms(set.drain_grace_ms);
+        self.most_wait = duration_from_ms(set.max_retry_after_ms);
         self.sockets = config.sockets;
         let place = |field| set.report_fields.iter().position(|known| *known == field);
         self.in_report = (place(ReportField::FreeCircuits), place(ReportField::TotalCircuits));
@@ -655,10 +655,14 @@
     fn act(&mut self, action: Action, effects: &mut Vec<Effect>) {
         match action {
             Action::Send { call, exchange, timeout_ms } => {
-                self.attempt(call, exchange, span(timeout_ms), effects);
+                self.attempt(call, exchange, duration_from_ms(timeout_ms), effects);
             }
             Action::Refuse { call, retry_after_ms } => {
-                self.conclude(call, CallerMessage::Refused { retry_after: span(retry_after_ms) }, effects);
+                self.conclude(
+                    call,
+                    CallerMessage::Refused { retry_after: duration_from_ms(retry_after_ms) },
+                    effects,
+                );
             }
             Action::Fail { call } => {
                 let busy = self.calls.get(&call).is_some_and(|held| held.busy);
@@ -669,7 +673,9 @@
                     self.cancel(call, effects);
                 }
             }
-            Action::SetTimer { delay_ms, tag } => self.set_timer(span(delay_ms), Timer::Module(tag)),
+            Action::SetTimer { delay_ms, tag } => {
+                self.set_timer(duration_from_ms(delay_ms), Timer::Module(tag))
+            }
             Action::Probe { exchange } => {
                 if let Some(Way::Up(exchange_conn)) = self.peers.get(&exchange).map(|peer| peer.way) {
                     self.tests = self.tests.wrapping_add(1);
@@ -729,7 +735,7 @@
             width: setup.width.unwrap_or(width),
             dest: setup.dest,
             called_number: setup.called_number.as_deref().map_or(0, key_number),
-            remaining_ms: millis(since(self.now, deadline)),
+            remaining_ms: duration_to_ms(since(self.now, deadline)),
             transit_from: setup.transit_from,
             advised_route: setup.advised_route,
             redial: false,
@@ -1183,7 +1189,7 @@
             call.paused_until = Some(self.now + self.release_pause);
         }
         let (attempt, took) = (call.attempts - 1, since(sent, self.now));
-        let elapsed_ms = millis(took);
+        let elapsed_ms = duration_to_ms(took);
         self.note_attempt_end(id, to, (outcome, reason), took);
         self.events.push_back(Event::AttemptEnded {
             call: id,
@@ -1250,7 +1256,7 @@
         self.figures.completed(&std::mem::take(&mut call.class));
         call.key = None;
         let asked = call.description.take();
-        let (attempt, elapsed_ms) = (call.attempts - 1, millis(since(sent, self.now)));
+        let (attempt, elapsed_ms) = (call.attempts - 1, duration_to_ms(since(sent, self.now)));
         let (caller_conn, call) = (call.caller_conn, call.name);
         self.no_longer_open(asked.as_ref());
         if let Some(caller_conn) = self.links.get_mut(&caller_conn) {
--- a/src/engine/notes.rs
+++ b/src/engine/recording.rs
@@ -84,7 +84,7 @@
 
 impl Engine {
     /// Records from now on, beginning with all that a reader has to know first.
-    pub fn record(&mut self, is_replacement: bool, effects: &mut Vec<Effect>) {
+    pub fn start_recording(&mut self, is_replacement: bool, effects: &mut Vec<Effect>) {
         self.notes.on = true;
         let version = env!("CARGO_PKG_VERSION").to_owned();
         self.note(|engine| Event::Started { version, home: engine.home, is_replacement });
--- a/src/engine/twin.rs
+++ b/src/engine/sibling.rs
@@ -32,7 +32,7 @@
     ///
     /// # Errors
     /// If the module can make no decisions with these settings.
-    pub fn succeed(
+    pub fn take_over(
         config: &Config,
         inheritance: HandoverState,
         now: SystemTime,
--- a/src/engine/view.rs
+++ b/src/engine/status.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::UNIX_EPOCH;
 
-use super::{Engine, ExchangeId, Phase, Readiness, Way, since, span};
+use super::{Engine, ExchangeId, Phase, Readiness, Way, duration_from_ms, since};
 use crate::ops::{Fleet, Seen};
 
 impl Engine {
@@ -47,7 +47,7 @@
                     },
                     group: peer.group,
                     heard,
-                    expected: span(if own { 0.0 } else { self.module.expected_delay(*id) }),
+                    expected: duration_from_ms(if own { 0.0 } else { self.module.expected_delay(*id) }),
                     out,
                     standing,
                     avoided: !own && self.module.avoids(*id),
--- a/src/iax2/element.rs
+++ b/src/iax2/element.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::frame::FrameError;
-use crate::engine::{CallerMessage, millis};
+use crate::engine::{CallerMessage, duration_to_ms};
 use crate::interface::{Outcome, Reason};
 
 const CALLED_NUMBER: u8 = 0x01;
@@ -112,7 +112,7 @@
             Elements::of_cause(34, "no circuit")
         }
         CallerMessage::Refused { retry_after } => {
-            Elements::of_cause(34, format!("{ADVICE}{:.0} ms", millis(*retry_after)))
+            Elements::of_cause(34, format!("{ADVICE}{:.0} ms", duration_to_ms(*retry_after)))
         }
         CallerMessage::Failed { busy: true } => Elements::of_cause(17, "user busy"),
         CallerMessage::Failed { busy: false } => Elements::of_cause(41, "temporary failure"),
@@ -137,8 +137,10 @@
     match elements.cause_code.unwrap_or(16) {
         0 | 16 => (Outcome::Completed, Reason::Unspecified),
         17 => (Outcome::Busy, Reason::UserBusy),
-        34 => (Outcome::Congested, wait.map_or(Reason::NoCircuit, |w| Reason::ProcessorFull(millis(w)))),
-        42 => (Outcome::Congested, Reason::ProcessorFull(millis(wait.unwrap_or_default()))),
+        34 => {
+            (Outcome::Congested, wait.map_or(Reason::NoCircuit, |w| Reason::ProcessorFull(duration_to_ms(w))))
+        }
+        42 => (Outcome::Congested, Reason::ProcessorFull(duration_to_ms(wait.unwrap_or_default()))),
         41 => (Outcome::Reset, Reason::Unspecified),
         102 => (Outcome::NotSent, Reason::Unspecified),
         _ => (Outcome::Busy, Reason::Unspecified),
--- a/src/net/dns.rs
+++ b/src/net/dns.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 
 use crate::config::zone_index;
-use crate::engine::{ListEntry, span};
+use crate::engine::{ListEntry, duration_from_ms};
 use crate::interface::Readiness;
 
 /// The name whose SRV records list the exchanges.
@@ -106,7 +106,7 @@
             address: SocketAddr::new(address.into(), port),
             number: value("cell")? as u32,
             zone: zone_index(zones, &label(1)?),
-            started_at: (started > 0.0).then(|| UNIX_EPOCH + span(started)),
+            started_at: (started > 0.0).then(|| UNIX_EPOCH + duration_from_ms(started)),
             readiness: if priority == 0 { Readiness::Ready } else { Readiness::Draining },
         })
     };
--- a/src/net/jsonl.rs
+++ b/src/net/jsonl.rs
@@ -10,7 +10,7 @@
 use tinyjson::JsonValue;
 
 use crate::config::parse_json;
-use crate::engine::{CallUid, CallerMessage, ExchangeMessage, SetUp, millis, span};
+use crate::engine::{CallUid, CallerMessage, ExchangeMessage, SetUp, duration_from_ms, duration_to_ms};
 use crate::interface::{LoadReport, Outcome, Reason};
 
 /// No message holds more bytes than this.
@@ -155,7 +155,7 @@
     Ok(SetUp {
         class: text(meta, "class").ok_or_else(wrong)?,
         received,
-        remaining: Some(span(number(meta, "left").filter(|n| *n >= 0.0).ok_or_else(wrong)?)),
+        remaining: Some(duration_from_ms(number(meta, "left").filter(|n| *n >= 0.0).ok_or_else(wrong)?)),
         called_number: Some(read_key(meta).ok_or_else(wrong)?),
         dest: figure("dest", 0.0..=65_535.0)?.ok_or_else(wrong)? as u32,
         width: figure("width", 1.0..=65_535.0)?,
@@ -248,7 +248,7 @@
 }
 
 fn whole_millis(span: Duration) -> u64 {
-    millis(span).round() as u64
+    duration_to_ms(span).round() as u64
 }
 
 /// A line to a caller.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -253,12 +253,12 @@
         let now = SystemTime::now();
         let inherited = inheritance.is_some();
         let mut engine = match inheritance {
-            Some(inheritance) => Engine::succeed(&config, inheritance, now, &mut effects)?,
+            Some(inheritance) => Engine::take_over(&config, inheritance, now, &mut effects)?,
             None => Engine::new(&config, now, &mut effects)?,
         };
         let recorder = start_recorder(&config, &edge, now)?;
         if recorder.is_some() {
-            engine.record(inherited, &mut effects);
+            engine.start_recording(inherited, &mut effects);
         }
         let registry = poll.registry().try_clone().map_err(system("poll"))?;
         let handover = place.map(|place| Handover::new(place, handed, &registry, &mut inputs));
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,7 +1,7 @@
 //! The program as it is started: its sub-commands, its files, and the order to stop.
 
-#[path = "common/desk.rs"]
-mod desk;
+#[path = "common/engine_harness.rs"]
+mod engine_harness;
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpStream, UdpSocket};
@@ -76,7 +76,7 @@
     let text = resolvers.each_ref().map(|resolver| {
         resolver.set_read_timeout(Some(Duration::from_secs(8))).expect("a time-out");
         let names = resolver.local_addr().expect("an address").to_string();
-        desk::config_text("127.0.0.1:0", &names, &["127.0.0.1:9".to_owned()])
+        engine_harness::config_json("127.0.0.1:0", &names, &["127.0.0.1:9".to_owned()])
     });
     std::fs::write(&file, &text[0]).expect("a file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_swiftlb"));
@@ -117,7 +117,7 @@
 #[test]
 fn a_log_that_nobody_reads_holds_no_call_up() {
     let file = std::env::temp_dir().join(format!("swiftlb-log-{}.json", std::process::id()));
-    std::fs::write(&file, desk::config_text("127.0.0.1:0", "127.0.0.1:9", &[])).expect("a file");
+    std::fs::write(&file, engine_harness::config_json("127.0.0.1:0", "127.0.0.1:9", &[])).expect("a file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_swiftlb"));
     command.args(["serve", "--log-format", "json"]).env("NODE_CONFIG", &file).stderr(Stdio::piped());
     let mut child = Ended(command.spawn().expect("it starts"));
--- a/tests/common/desk.rs
+++ b/tests/common/engine_harness.rs
@@ -12,7 +12,7 @@
 use swiftlb::interface::{NewCall, Outcome, Readiness, Reason};
 
 /// A configuration with this many exchanges, number 0 being the own one.
-pub fn config_text(listen: &str, names: &str, exchanges: &[String]) -> String {
+pub fn config_json(listen: &str, names: &str, exchanges: &[String]) -> String {
     let members: Vec<String> = exchanges
         .iter()
         .enumerate()
@@ -50,7 +50,7 @@
 
 pub fn config(exchanges: usize) -> Config {
     let addresses: Vec<String> = (0..exchanges).map(|i| format!("10.0.0.{}:5070", i + 1)).collect();
-    Config::parse(&config_text("127.0.0.1:0", "127.0.0.1:53", &addresses)).expect("a configuration")
+    Config::parse(&config_json("127.0.0.1:0", "127.0.0.1:53", &addresses)).expect("a configuration")
 }
 
 /// A call as the decisions get it.
@@ -70,26 +70,26 @@
     }
 }
 
-/// The link on which the desk's calls come.
-pub const LINK: CallerConnId = 7;
+/// The link on which the harness's calls come.
+pub const CALLER_CONN: CallerConnId = 7;
 
 /// One engine, and the time as the test tells it.
-pub struct Desk {
+pub struct EngineHarness {
     pub engine: Engine,
     pub now: SystemTime,
     /// Everything that has come out since it was last looked at.
-    pub seen: Vec<Effect>,
+    pub effects: Vec<Effect>,
     /// The latest way to each exchange, by its place in the list.
-    pub ways: Vec<(String, ExchangeConnId)>,
+    pub exchange_conns: Vec<(String, ExchangeConnId)>,
     /// On which way the latest set-up of each call went.
-    setups: Vec<(CallUid, ExchangeConnId)>,
+    sent_setups: Vec<(CallUid, ExchangeConnId)>,
 }
 
-pub fn name(call: u64) -> CallUid {
+pub fn call_uid(call: u64) -> CallUid {
     CallUid::from_u64(call)
 }
 
-pub fn entry(place: usize, readiness: Readiness) -> ListEntry {
+pub fn list_entry(place: usize, readiness: Readiness) -> ListEntry {
     ListEntry {
         name: format!("s-{place}").into(),
         address: format!("10.0.0.{}:5070", place + 1).parse().expect("an address"),
@@ -100,16 +100,16 @@
     }
 }
 
-impl Desk {
+impl EngineHarness {
     /// An engine with this many exchanges and a way up to each, and one link.
     pub fn new(exchanges: usize) -> Self {
-        let mut desk = Self::unconnected(exchanges);
+        let mut harness = Self::unconnected(exchanges);
         for place in 1..exchanges {
-            let exchange_conn = desk.way(place);
-            desk.put(Input::ExchangeConnected { exchange_conn, carries_calls: false });
+            let exchange_conn = harness.exchange_conn(place);
+            harness.handle(Input::ExchangeConnected { exchange_conn, carries_calls: false });
         }
-        desk.seen.clear();
-        desk
+        harness.effects.clear();
+        harness
     }
 
     pub fn unconnected(exchanges: usize) -> Self {
@@ -117,20 +117,21 @@
         let now = UNIX_EPOCH + Duration::from_secs(1_800_000_000);
         let mut seen = Vec::new();
         let engine = Engine::new(&config, now, &mut seen).expect("settings that make sense");
-        let mut desk = Self { engine, now, seen, ways: Vec::new(), setups: Vec::new() };
-        desk.note_ways(0);
-        desk.put(Input::CallerConnected { caller_conn: LINK, front: Front::JsonLines });
-        desk
+        let mut harness =
+            Self { engine, now, effects: seen, exchange_conns: Vec::new(), sent_setups: Vec::new() };
+        harness.note_effects(0);
+        harness.handle(Input::CallerConnected { caller_conn: CALLER_CONN, front: Front::JsonLines });
+        harness
     }
 
-    fn note_ways(&mut self, from: usize) {
-        for effect in &self.seen[from..] {
+    fn note_effects(&mut self, from: usize) {
+        for effect in &self.effects[from..] {
             match effect {
                 Effect::ConnectExchange { exchange_conn, name, .. } => {
-                    self.ways.push((name.to_string(), *exchange_conn))
+                    self.exchange_conns.push((name.to_string(), *exchange_conn))
                 }
                 Effect::ToExchange { exchange_conn, call, message: ExchangeMessage::SetUp { .. } } => {
-                    self.setups.push((*call, *exchange_conn));
+                    self.sent_setups.push((*call, *exchange_conn));
                 }
                 _ => {}
             }
@@ -138,42 +139,42 @@
     }
 
     /// The latest way asked for to the exchange at this place.
-    pub fn way(&self, place: usize) -> ExchangeConnId {
+    pub fn exchange_conn(&self, place: usize) -> ExchangeConnId {
         let name = format!("s-{place}");
-        self.ways.iter().rev().find(|(n, _)| *n == name).expect("a way").1
+        self.exchange_conns.iter().rev().find(|(n, _)| *n == name).expect("a way").1
     }
 
     /// The way to the exchange at this place on which a call's set-up went, else the latest.
-    fn way_of(&self, call: u64, place: usize) -> ExchangeConnId {
+    fn setup_conn(&self, call: u64, place: usize) -> ExchangeConnId {
         let there = |exchange_conn: &ExchangeConnId| {
-            self.ways.iter().any(|(n, c)| c == exchange_conn && *n == format!("s-{place}"))
+            self.exchange_conns.iter().any(|(n, c)| c == exchange_conn && *n == format!("s-{place}"))
         };
         let mut went = self
-            .setups
+            .sent_setups
             .iter()
             .rev()
-            .filter(|(c, _)| *c == name(call))
+            .filter(|(c, _)| *c == call_uid(call))
             .map(|(_, exchange_conn)| *exchange_conn);
-        went.find(there).unwrap_or_else(|| self.way(place))
+        went.find(there).unwrap_or_else(|| self.exchange_conn(place))
     }
 
-    pub fn put(&mut self, input: Input) {
-        let from = self.seen.len();
-        self.engine.handle(self.now, input, &mut self.seen);
-        self.note_ways(from);
+    pub fn handle(&mut self, input: Input) {
+        let from = self.effects.len();
+        self.engine.handle(self.now, input, &mut self.effects);
+        self.note_effects(from);
     }
 
     /// Lets time pass, with every timer rung at its time.
-    pub fn pass(&mut self, ms: u64) {
+    pub fn advance(&mut self, ms: u64) {
         let end = self.now + Duration::from_millis(ms);
         while let Some(at) = self.engine.next_wake().filter(|at| *at <= end) {
             self.now = self.now.max(at);
-            self.put(Input::Wake);
+            self.handle(Input::Wake);
         }
         self.now = end;
     }
 
-    pub fn setup(&self, dest: u32, left: u64) -> SetUp {
+    pub fn new_setup(&self, dest: u32, left: u64) -> SetUp {
         SetUp {
             class: "status".to_owned(),
             received: self.now,
@@ -188,35 +189,35 @@
         }
     }
 
-    pub fn call(&mut self, call: u64, dest: u32, left: u64) {
-        let setup = self.setup(dest, left);
-        self.put(Input::SetUp { caller_conn: LINK, call: name(call), setup });
+    pub fn place_call(&mut self, call: u64, dest: u32, left: u64) {
+        let setup = self.new_setup(dest, left);
+        self.handle(Input::SetUp { caller_conn: CALLER_CONN, call: call_uid(call), setup });
     }
 
     pub fn answer(&mut self, call: u64, place: usize) {
-        let exchange_conn = self.way_of(call, place);
+        let exchange_conn = self.setup_conn(call, place);
         let description = Some(Arc::from("answer"));
-        self.put(Input::Answered { exchange_conn, call: name(call), description });
+        self.handle(Input::Answered { exchange_conn, call: call_uid(call), description });
     }
 
-    pub fn end(&mut self, call: u64, place: usize, outcome: Outcome, reason: Reason) {
-        let exchange_conn = self.way_of(call, place);
-        self.put(Input::Ended { exchange_conn, call: name(call), outcome, reason });
+    pub fn end_call(&mut self, call: u64, place: usize, outcome: Outcome, reason: Reason) {
+        let exchange_conn = self.setup_conn(call, place);
+        self.handle(Input::Ended { exchange_conn, call: call_uid(call), outcome, reason });
     }
 
     /// What callers were told of this call.
-    pub fn told(&self, call: u64) -> Vec<CallerMessage> {
-        let told = self.seen.iter().filter_map(|effect| match effect {
-            Effect::ToCaller { call: c, message, .. } if *c == name(call) => Some(message.clone()),
+    pub fn caller_messages(&self, call: u64) -> Vec<CallerMessage> {
+        let told = self.effects.iter().filter_map(|effect| match effect {
+            Effect::ToCaller { call: c, message, .. } if *c == call_uid(call) => Some(message.clone()),
             _ => None,
         });
         told.collect()
     }
 
     /// What exchanges were told of this call, with the way it went.
-    pub fn sent(&self, call: u64) -> Vec<(ExchangeConnId, ExchangeMessage)> {
-        let sent = self.seen.iter().filter_map(|effect| match effect {
-            Effect::ToExchange { exchange_conn, call: c, message } if *c == name(call) => {
+    pub fn exchange_messages(&self, call: u64) -> Vec<(ExchangeConnId, ExchangeMessage)> {
+        let sent = self.effects.iter().filter_map(|effect| match effect {
+            Effect::ToExchange { exchange_conn, call: c, message } if *c == call_uid(call) => {
                 Some((*exchange_conn, message.clone()))
             }
             _ => None,
@@ -225,12 +226,15 @@
     }
 
     /// Forgets on which ways set-ups went: a bench makes more of them than a test.
-    pub fn forget_setups(&mut self) {
-        self.setups.clear();
+    pub fn clear_setups(&mut self) {
+        self.sent_setups.clear();
     }
 
     /// Set-ups sent for this call.
-    pub fn setups(&self, call: u64) -> usize {
-        self.sent(call).iter().filter(|(_, word)| matches!(word, ExchangeMessage::SetUp { .. })).count()
+    pub fn setup_count(&self, call: u64) -> usize {
+        self.exchange_messages(call)
+            .iter()
+            .filter(|(_, word)| matches!(word, ExchangeMessage::SetUp { .. }))
+            .count()
     }
 }
--- a/tests/common/peers.rs
+++ b/tests/common/peers.rs
@@ -13,7 +13,7 @@
 use swiftlb::net::{Inbox, Message, Server};
 use tinyjson::JsonValue;
 
-use crate::desk::config_text;
+use crate::engine_harness::config_json;
 
 /// Nothing that is waited for takes this long; a test that gets there has failed.
 const PATIENCE: Duration = Duration::from_secs(8);
@@ -37,7 +37,7 @@
         let all: Vec<String> = std::iter::once("127.0.0.1:9".to_owned())
             .chain(exchanges.iter().map(|a| a.to_string()))
             .collect();
-        let config = Config::parse(&config_text("127.0.0.1:0", &names, &all)).expect("a configuration");
+        let config = Config::parse(&config_json("127.0.0.1:0", &names, &all)).expect("a configuration");
         let iax2 = format!(
             r#"{{"enabled":true,"listen":"127.0.0.1:0","nodes":{nodes:?},"contexts":[
             {{"context":"service","class":"lookup","numbers":[{{"prefix":"1","exchange":1}},{{"prefix":"2","exchange":2}}]}}]}}"#
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -1,31 +1,31 @@
 //! Sending callers away at an operator's order, in virtual time and on loopback.
 
-#[path = "common/desk.rs"]
-mod desk;
+#[path = "common/engine_harness.rs"]
+mod engine_harness;
 #[path = "common/peers.rs"]
 mod peers;
 
-use desk::{Desk, LINK, name};
+use engine_harness::{CALLER_CONN, EngineHarness, call_uid};
 use peers::{Exchange, Lines, Phone, Switch, launch};
 use swiftlb::engine::{CallerMessage, Effect, Front, Input};
 use swiftlb::iax2::frame::{Kind, control, iax};
 use swiftlb::interface::{Outcome, Reason};
 use swiftlb::ops::{OperatorReply, OperatorRequest};
 
-fn order(desk: &mut Desk, request: OperatorRequest) {
-    desk.put(Input::OperatorRequest { request_id: 1, request });
+fn order(harness: &mut EngineHarness, request: OperatorRequest) {
+    harness.handle(Input::OperatorRequest { request_id: 1, request });
 }
 
 /// What the front's test says now.
-fn takes_work(desk: &mut Desk) -> bool {
-    desk.seen.clear();
-    desk.put(Input::HealthCheck { caller_conn: LINK, call: name(99) });
-    desk.told(99) == [CallerMessage::HealthCheckResult { passed: true }]
+fn takes_work(harness: &mut EngineHarness) -> bool {
+    harness.effects.clear();
+    harness.handle(Input::HealthCheck { caller_conn: CALLER_CONN, call: call_uid(99) });
+    harness.caller_messages(99) == [CallerMessage::HealthCheckResult { passed: true }]
 }
 
 /// Ways to callers that were to be closed since it was last looked at.
-fn closed(desk: &Desk) -> Vec<u64> {
-    let closed = desk.seen.iter().filter_map(|effect| match effect {
+fn closed(harness: &EngineHarness) -> Vec<u64> {
+    let closed = harness.effects.iter().filter_map(|effect| match effect {
         Effect::CloseCallerConnIfIdle { caller_conn } | Effect::CloseCallerConn { caller_conn } => {
             Some(*caller_conn)
         }
@@ -36,105 +36,111 @@
 
 #[test]
 fn the_test_fails_at_once_and_passes_again_at_once() {
-    let mut desk = Desk::new(3);
-    assert!(takes_work(&mut desk));
-    order(&mut desk, OperatorRequest::DrainStart);
-    assert!(!takes_work(&mut desk));
+    let mut harness = EngineHarness::new(3);
+    assert!(takes_work(&mut harness));
+    order(&mut harness, OperatorRequest::DrainStart);
+    assert!(!takes_work(&mut harness));
     // A second order is as good as one.
-    order(&mut desk, OperatorRequest::DrainStart);
-    desk.pass(5_000);
-    assert!(!takes_work(&mut desk));
+    order(&mut harness, OperatorRequest::DrainStart);
+    harness.advance(5_000);
+    assert!(!takes_work(&mut harness));
     // The process still can serve, which is another question.
-    order(&mut desk, OperatorRequest::Readiness);
-    assert!(desk.seen.contains(&Effect::ToOperator { request_id: 1, reply: OperatorReply::Done }));
-    order(&mut desk, OperatorRequest::DrainStop);
-    assert!(takes_work(&mut desk));
-    order(&mut desk, OperatorRequest::DrainStop);
-    desk.put(Input::CallerConnected { caller_conn: 8, front: Front::JsonLines });
-    desk.call(1, 1, 3_000);
-    desk.answer(1, 1);
-    desk.pass(1_000);
-    assert!(takes_work(&mut desk) && !closed(&desk).contains(&LINK), "nobody is sent away any more");
+    order(&mut harness, OperatorRequest::Readiness);
+    assert!(harness.effects.contains(&Effect::ToOperator { request_id: 1, reply: OperatorReply::Done }));
+    order(&mut harness, OperatorRequest::DrainStop);
+    assert!(takes_work(&mut harness));
+    order(&mut harness, OperatorRequest::DrainStop);
+    harness.handle(Input::CallerConnected { caller_conn: 8, front: Front::JsonLines });
+    harness.place_call(1, 1, 3_000);
+    harness.answer(1, 1);
+    harness.advance(1_000);
+    assert!(
+        takes_work(&mut harness) && !closed(&harness).contains(&CALLER_CONN),
+        "nobody is sent away any more"
+    );
 }
 
 #[test]
 fn a_connection_is_closed_once_nothing_is_open_on_it_and_calls_are_served_meanwhile() {
-    let mut desk = Desk::new(3);
-    order(&mut desk, OperatorRequest::DrainStart);
-    desk.call(1, 1, 3_000);
-    desk.put(Input::CallerConnected { caller_conn: 8, front: Front::JsonLines });
-    desk.pass(290);
-    assert_eq!(closed(&desk), [0; 0], "the front may still be sending");
-    desk.pass(20);
-    assert_eq!(closed(&desk), [8], "one with an open set-up stays");
-    desk.seen.clear();
-    desk.end(1, 1, Outcome::Busy, Reason::UserBusy);
-    assert_eq!(desk.told(1), [CallerMessage::Failed { busy: true }]);
-    assert_eq!(closed(&desk), [LINK], "closed behind its answer");
+    let mut harness = EngineHarness::new(3);
+    order(&mut harness, OperatorRequest::DrainStart);
+    harness.place_call(1, 1, 3_000);
+    harness.handle(Input::CallerConnected { caller_conn: 8, front: Front::JsonLines });
+    harness.advance(290);
+    assert_eq!(closed(&harness), [0; 0], "the front may still be sending");
+    harness.advance(20);
+    assert_eq!(closed(&harness), [8], "one with an open set-up stays");
+    harness.effects.clear();
+    harness.end_call(1, 1, Outcome::Busy, Reason::UserBusy);
+    assert_eq!(harness.caller_messages(1), [CallerMessage::Failed { busy: true }]);
+    assert_eq!(closed(&harness), [CALLER_CONN], "closed behind its answer");
 }
 
 #[test]
 fn a_connection_that_goes_on_being_used_is_emptied_in_time() {
-    let mut desk = Desk::new(3);
-    desk.call(1, 1, 3_000);
-    order(&mut desk, OperatorRequest::DrainStart);
-    desk.pass(1_500);
-    desk.call(2, 1, 3_000);
-    desk.pass(1_000);
-    desk.call(3, 1, 3_000);
-    desk.pass(1_250);
-    assert!(closed(&desk).contains(&LINK));
+    let mut harness = EngineHarness::new(3);
+    harness.place_call(1, 1, 3_000);
+    order(&mut harness, OperatorRequest::DrainStart);
+    harness.advance(1_500);
+    harness.place_call(2, 1, 3_000);
+    harness.advance(1_000);
+    harness.place_call(3, 1, 3_000);
+    harness.advance(1_250);
+    assert!(closed(&harness).contains(&CALLER_CONN));
     for call in [2, 3] {
-        assert_eq!(desk.told(call), [CallerMessage::Failed { busy: false }], "one answer each");
+        assert_eq!(harness.caller_messages(call), [CallerMessage::Failed { busy: false }], "one answer each");
     }
 }
 
 #[test]
 fn one_connection_is_kept_for_the_ends_of_calls_that_stand_while_that_is_allowed() {
-    let mut desk = Desk::new(3);
-    desk.call(1, 1, 3_000);
-    desk.answer(1, 1);
-    desk.put(Input::CallerConnected { caller_conn: 8, front: Front::JsonLines });
-    let setup = desk.setup(1, 3_000);
-    desk.put(Input::SetUp { caller_conn: 8, call: name(2), setup });
-    desk.answer(2, 1);
-    order(&mut desk, OperatorRequest::DrainStart);
-    desk.pass(320);
-    assert_eq!(closed(&desk), [8]);
-    desk.put(Input::CallerDisconnected { caller_conn: 8 });
-    desk.pass(3_350);
-    assert!(!closed(&desk).contains(&LINK));
-    desk.end(2, 1, Outcome::Completed, Reason::Unspecified);
-    assert!(desk.told(2).contains(&CallerMessage::Released { cut: false }));
-    desk.pass(80);
-    assert!(closed(&desk).contains(&LINK), "well before 4 s it goes too");
+    let mut harness = EngineHarness::new(3);
+    harness.place_call(1, 1, 3_000);
+    harness.answer(1, 1);
+    harness.handle(Input::CallerConnected { caller_conn: 8, front: Front::JsonLines });
+    let setup = harness.new_setup(1, 3_000);
+    harness.handle(Input::SetUp { caller_conn: 8, call: call_uid(2), setup });
+    harness.answer(2, 1);
+    order(&mut harness, OperatorRequest::DrainStart);
+    harness.advance(320);
+    assert_eq!(closed(&harness), [8]);
+    harness.handle(Input::CallerDisconnected { caller_conn: 8 });
+    harness.advance(3_350);
+    assert!(!closed(&harness).contains(&CALLER_CONN));
+    harness.end_call(2, 1, Outcome::Completed, Reason::Unspecified);
+    assert!(harness.caller_messages(2).contains(&CallerMessage::Released { cut: false }));
+    harness.advance(80);
+    assert!(closed(&harness).contains(&CALLER_CONN), "well before 4 s it goes too");
 }
 
 #[test]
 fn a_call_that_stands_is_released_whenever_a_way_comes() {
-    let mut desk = Desk::new(3);
-    desk.call(1, 1, 3_000);
-    desk.answer(1, 1);
-    order(&mut desk, OperatorRequest::DrainStart);
-    desk.pass(400);
-    desk.put(Input::CallerDisconnected { caller_conn: LINK });
-    desk.end(1, 1, Outcome::Completed, Reason::Unspecified);
-    desk.pass(15_000);
-    desk.seen.clear();
-    desk.put(Input::CallerConnected { caller_conn: 8, front: Front::JsonLines });
-    desk.put(Input::HealthCheck { caller_conn: 8, call: name(99) });
-    desk.put(Input::CallerConnected { caller_conn: 10, front: Front::JsonLines });
-    desk.pass(1_000);
-    assert_eq!(desk.told(1), [], "whoever only tests or says nothing does not read it");
-    order(&mut desk, OperatorRequest::DrainStop);
-    desk.pass(200);
-    assert_eq!(desk.told(1), [], "callers are on their way back");
-    desk.put(Input::CallerConnected { caller_conn: 9, front: Front::JsonLines });
-    let setup = desk.setup(1, 3_000);
-    desk.put(Input::SetUp { caller_conn: 9, call: name(2), setup });
-    let released =
-        Effect::ToCaller { caller_conn: 9, call: name(1), message: CallerMessage::Released { cut: false } };
-    assert!(desk.seen.contains(&released));
+    let mut harness = EngineHarness::new(3);
+    harness.place_call(1, 1, 3_000);
+    harness.answer(1, 1);
+    order(&mut harness, OperatorRequest::DrainStart);
+    harness.advance(400);
+    harness.handle(Input::CallerDisconnected { caller_conn: CALLER_CONN });
+    harness.end_call(1, 1, Outcome::Completed, Reason::Unspecified);
+    harness.advance(15_000);
+    harness.effects.clear();
+    harness.handle(Input::CallerConnected { caller_conn: 8, front: Front::JsonLines });
+    harness.handle(Input::HealthCheck { caller_conn: 8, call: call_uid(99) });
+    harness.handle(Input::CallerConnected { caller_conn: 10, front: Front::JsonLines });
+    harness.advance(1_000);
+    assert_eq!(harness.caller_messages(1), [], "whoever only tests or says nothing does not read it");
+    order(&mut harness, OperatorRequest::DrainStop);
+    harness.advance(200);
+    assert_eq!(harness.caller_messages(1), [], "callers are on their way back");
+    harness.handle(Input::CallerConnected { caller_conn: 9, front: Front::JsonLines });
+    let setup = harness.new_setup(1, 3_000);
+    harness.handle(Input::SetUp { caller_conn: 9, call: call_uid(2), setup });
+    let released = Effect::ToCaller {
+        caller_conn: 9,
+        call: call_uid(1),
+        message: CallerMessage::Released { cut: false },
+    };
+    assert!(harness.effects.contains(&released));
 }
 
 #[test]
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -1,7 +1,7 @@
 //! The whole program on loopback sockets, between stand-ins of both fronts: the same rules on either.
 
-#[path = "common/desk.rs"]
-mod desk;
+#[path = "common/engine_harness.rs"]
+mod engine_harness;
 #[path = "common/peers.rs"]
 mod peers;
 
@@ -167,7 +167,7 @@
     caller.send(&launch(CALL, 1, 3_000));
     phone.call(switch.handsets.expect("it is on"), "17");
     let uids: Vec<String> = (0..2).map(|_| lines[0].next().expect("a set-up").text("uid")).collect();
-    let config = Box::new(desk::config(3));
+    let config = Box::new(engine_harness::config(3));
     switch
         .to_loop
         .send(swiftlb::net::Message::Input(swiftlb::engine::Input::Reload(config)))
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,7 +1,7 @@
 //! The operators' door on loopback: its answers, its figures, and that callers cannot hold it up.
 
-#[path = "common/desk.rs"]
-mod desk;
+#[path = "common/engine_harness.rs"]
+mod engine_harness;
 #[path = "common/peers.rs"]
 mod peers;
 
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,7 +1,7 @@
 //! Every parser of what comes from outside: valid messages cut at random, and random garbage, from fixed seeds.
 
-#[path = "common/desk.rs"]
-mod desk;
+#[path = "common/engine_harness.rs"]
+mod engine_harness;
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -1,9 +1,9 @@
 //! What the softswitch records of itself, and the settings that switch it on.
 
-#[path = "common/desk.rs"]
-mod desk;
 #[path = "common/draw.rs"]
 mod draw;
+#[path = "common/engine_harness.rs"]
+mod engine_harness;
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -12,8 +12,8 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant, SystemTime};
 
-use desk::{Desk, LINK, entry, name};
 use draw::Draw;
+use engine_harness::{CALLER_CONN, EngineHarness, call_uid, list_entry};
 use swiftlb::edge::{Edge, EdgeError};
 use swiftlb::engine::{CallerMessage, Effect, Input};
 use swiftlb::interface::{Outcome, Readiness, Reason};
@@ -24,40 +24,40 @@
 };
 use tinyjson::JsonValue;
 
-/// A desk whose engine records.
-fn recording(exchanges: usize) -> Desk {
-    let mut desk = Desk::new(exchanges);
+/// A harness whose engine records.
+fn recording(exchanges: usize) -> EngineHarness {
+    let mut harness = EngineHarness::new(exchanges);
     let mut effects = Vec::new();
-    desk.engine.record(false, &mut effects);
-    desk.seen.extend(effects);
-    desk
+    harness.engine.start_recording(false, &mut effects);
+    harness.effects.extend(effects);
+    harness
 }
 
-fn events(desk: &Desk) -> Vec<Event> {
-    let recorded = desk.seen.iter().filter_map(|effect| match effect {
+fn events(harness: &EngineHarness) -> Vec<Event> {
+    let recorded = harness.effects.iter().filter_map(|effect| match effect {
         Effect::Record(record) => Some(record.event.clone()),
         _ => None,
     });
     recorded.collect()
 }
 
-fn of_call(desk: &Desk, call: u64) -> Vec<Event> {
-    events(desk).into_iter().filter(|event| event.call() == Some(CallUid(call))).collect()
+fn of_call(harness: &EngineHarness, call: u64) -> Vec<Event> {
+    events(harness).into_iter().filter(|event| event.call() == Some(CallUid(call))).collect()
 }
 
 #[test]
 fn nothing_is_recorded_unless_it_is_switched_on() {
-    let mut desk = Desk::new(3);
-    desk.call(1, 1, 2_000);
-    desk.answer(1, 1);
-    desk.pass(5_000);
-    assert_eq!(events(&desk), []);
+    let mut harness = EngineHarness::new(3);
+    harness.place_call(1, 1, 2_000);
+    harness.answer(1, 1);
+    harness.advance(5_000);
+    assert_eq!(events(&harness), []);
 }
 
 #[test]
 fn a_reader_is_told_first_what_it_has_to_know() {
-    let desk = recording(3);
-    let first = events(&desk);
+    let harness = recording(3);
+    let first = events(&harness);
     assert!(matches!(&first[0], Event::Started { home: Some(0), is_replacement: false, .. }), "{first:?}");
     assert_eq!(first[1], Event::Classes(vec!["status".to_owned(), "lookup".to_owned()]));
     let listed = |event: &Event| {
@@ -68,12 +68,12 @@
 
 #[test]
 fn a_call_s_life_is_told_from_set_up_to_release() {
-    let mut desk = recording(3);
-    desk.call(1, 1, 2_000);
-    desk.pass(40);
-    desk.end(1, 1, Outcome::Congested, Reason::ProcessorFull(300.0));
-    desk.pass(10);
-    let life = of_call(&desk, 1);
+    let mut harness = recording(3);
+    harness.place_call(1, 1, 2_000);
+    harness.advance(40);
+    harness.end_call(1, 1, Outcome::Congested, Reason::ProcessorFull(300.0));
+    harness.advance(10);
+    let life = of_call(&harness, 1);
     assert!(
         matches!(life[0], Event::SetUp { dest: 1, class: 0, remaining_ms: 2_000, transit_from: None, .. }),
         "{life:?}"
@@ -92,12 +92,12 @@
         elapsed_us: 40_000,
     };
     assert_eq!(life[2], end);
-    desk.call(2, 2, 2_000);
-    desk.pass(50);
-    desk.answer(2, 2);
-    desk.pass(1_000);
-    desk.put(Input::HangUp { caller_conn: LINK, call: name(2), cause: 16 });
-    let life = of_call(&desk, 2);
+    harness.place_call(2, 2, 2_000);
+    harness.advance(50);
+    harness.answer(2, 2);
+    harness.advance(1_000);
+    harness.handle(Input::HangUp { caller_conn: CALLER_CONN, call: call_uid(2), cause: 16 });
+    let life = of_call(&harness, 2);
     assert_eq!(life[2], Event::Answered { call: CallUid(2), exchange: 2, elapsed_us: 50_000 });
     let released =
         Event::Released { call: CallUid(2), exchange: Some(2), by: ReleasedBy::Caller, cut: false };
@@ -106,25 +106,25 @@
 
 #[test]
 fn the_end_of_a_call_is_told_with_its_reason() {
-    let mut desk = recording(3);
+    let mut harness = recording(3);
     // No answer comes: the attempt times out, and the call is given up for that.
-    desk.call(1, 1, 1_000);
-    desk.pass(3_000);
+    harness.place_call(1, 1, 1_000);
+    harness.advance(3_000);
     let reason = FailureReason::AfterAttempt(AttemptOutcome::TimedOut, AttemptReason::Unspecified);
-    assert_eq!(of_call(&desk, 1).last(), Some(&Event::Failed { call: CallUid(1), reason }));
+    assert_eq!(of_call(&harness, 1).last(), Some(&Event::Failed { call: CallUid(1), reason }));
     // Its caller stops waiting.
-    desk.call(2, 1, 2_000);
-    desk.put(Input::HangUp { caller_conn: LINK, call: name(2), cause: 16 });
-    assert_eq!(of_call(&desk, 2).last(), Some(&Event::Abandoned { call: CallUid(2) }));
+    harness.place_call(2, 1, 2_000);
+    harness.handle(Input::HangUp { caller_conn: CALLER_CONN, call: call_uid(2), cause: 16 });
+    assert_eq!(of_call(&harness, 2).last(), Some(&Event::Abandoned { call: CallUid(2) }));
     // It stood, and its exchange is gone from the list.
-    desk.call(3, 2, 2_000);
-    desk.answer(3, 2);
-    desk.put(Input::List(vec![entry(0, Readiness::Ready), entry(1, Readiness::Draining)]));
-    desk.pass(1_000);
+    harness.place_call(3, 2, 2_000);
+    harness.answer(3, 2);
+    harness.handle(Input::List(vec![list_entry(0, Readiness::Ready), list_entry(1, Readiness::Draining)]));
+    harness.advance(1_000);
     let cut =
         Event::Released { call: CallUid(3), exchange: Some(2), by: ReleasedBy::ExchangeLost, cut: true };
-    assert_eq!(of_call(&desk, 3).last(), Some(&cut));
-    let all = events(&desk);
+    assert_eq!(of_call(&harness, 3).last(), Some(&cut));
+    let all = events(&harness);
     let listing = |exchange, readiness| {
         let name = format!("s-{exchange}");
         Event::Exchange { exchange, name, zone: 0, readiness, started_us: 0 }
@@ -135,9 +135,9 @@
         "{all:?}"
     );
     // A call to an exchange that nobody lists has no route.
-    desk.call(4, 2, 2_000);
-    desk.pass(100);
-    let last = of_call(&desk, 4).last().cloned();
+    harness.place_call(4, 2, 2_000);
+    harness.advance(100);
+    let last = of_call(&harness, 4).last().cloned();
     assert!(
         matches!(last, Some(Event::Refused { reason: RefusalReason::Shed | RefusalReason::NoCircuit, .. })),
         "{last:?}"
@@ -146,25 +146,25 @@
 
 #[test]
 fn groups_ways_drains_and_beliefs_are_told_as_they_change() {
-    let mut desk = recording(3);
-    let exchange_conn = desk.way(1);
+    let mut harness = recording(3);
+    let exchange_conn = harness.exchange_conn(1);
     for free in [20.0, 20.0, 19.0] {
-        desk.put(Input::GroupState { exchange_conn, report: vec![free, 30.0] });
+        harness.handle(Input::GroupState { exchange_conn, report: vec![free, 30.0] });
     }
-    let all = events(&desk);
+    let all = events(&harness);
     let groups: Vec<&Event> = all.iter().filter(|event| matches!(event, Event::Group { .. })).collect();
     let group = |free| Event::Group { exchange: 1, free, total: 30 };
     assert_eq!(groups, [&group(20), &group(19)], "what has not changed is not told again");
-    desk.put(Input::ExchangeDisconnected { exchange_conn });
-    desk.pass(400);
-    let again = desk.way(1);
+    harness.handle(Input::ExchangeDisconnected { exchange_conn });
+    harness.advance(400);
+    let again = harness.exchange_conn(1);
     assert_ne!(again, exchange_conn);
-    desk.put(Input::ExchangeConnectFailed { exchange_conn: again, refused: true });
-    desk.put(Input::OperatorRequest { request_id: 1, request: OperatorRequest::DrainStart });
-    desk.put(Input::OperatorRequest { request_id: 2, request: OperatorRequest::DrainStart });
-    desk.put(Input::OperatorRequest { request_id: 3, request: OperatorRequest::DrainStop });
-    desk.pass(1_000);
-    let all = events(&desk);
+    harness.handle(Input::ExchangeConnectFailed { exchange_conn: again, refused: true });
+    harness.handle(Input::OperatorRequest { request_id: 1, request: OperatorRequest::DrainStart });
+    harness.handle(Input::OperatorRequest { request_id: 2, request: OperatorRequest::DrainStart });
+    harness.handle(Input::OperatorRequest { request_id: 3, request: OperatorRequest::DrainStop });
+    harness.advance(1_000);
+    let all = events(&harness);
     let way = |change| Event::ExchangeConnection { exchange: 1, change };
     let told = |event: &Event| all.iter().filter(|known| *known == event).count();
     assert_eq!((told(&way(ConnectionChange::Lost)), told(&way(ConnectionChange::Refused))), (1, 1));
@@ -174,23 +174,23 @@
         all.iter().any(|event| matches!(event, Event::ExpectedDelay { exchange: 2, open_attempts: 0, .. })),
         "{all:?}"
     );
-    desk.put(Input::Drain);
-    desk.pass(11_000);
-    assert_eq!(events(&desk).iter().filter(|event| **event == Event::Stopped).count(), 1);
+    harness.handle(Input::Drain);
+    harness.advance(11_000);
+    assert_eq!(events(&harness).iter().filter(|event| **event == Event::Stopped).count(), 1);
 }
 
 /// What must hold of the records of any history: checked against what callers were told, which is not what the
 /// records are made from.
-fn check_history(desk: &Desk, calls: u64) {
+fn check_history(harness: &EngineHarness, calls: u64) {
     let mut lives: BTreeMap<u64, Vec<Event>> = BTreeMap::new();
-    for event in events(desk) {
+    for event in events(harness) {
         if let Some(call) = event.call() {
             lives.entry(call.0).or_default().push(event);
         }
     }
     for call in 1..=calls {
         let life = lives.remove(&call).unwrap_or_default();
-        let told = desk.told(call);
+        let told = harness.caller_messages(call);
         assert!(matches!(life[0], Event::SetUp { .. }), "{life:?}");
         let answers = told.iter().filter(|word| matches!(word, CallerMessage::Answered { .. })).count();
         let refusals = told.iter().filter(|word| matches!(word, CallerMessage::Refused { .. })).count();
@@ -209,7 +209,7 @@
         // One that waits for a way may never be sent.
         let at_once = count(|e| matches!(e, Event::Attempt { awaits_connection: false, .. }));
         let all = count(|e| matches!(e, Event::Attempt { .. }));
-        assert!((at_once..=all).contains(&desk.setups(call)), "{life:?}");
+        assert!((at_once..=all).contains(&harness.setup_count(call)), "{life:?}");
         // Attempts count up, and each ends before the next begins.
         let mut out = None;
         for event in &life {
@@ -228,44 +228,48 @@
 fn any_history_is_told_whole() {
     for seed in 0..30 {
         let mut draw = Draw(seed);
-        let mut desk = recording(4);
+        let mut harness = recording(4);
         for place in 1..4 {
-            let exchange_conn = desk.way(place);
-            desk.put(Input::GroupState { exchange_conn, report: vec![30.0, 30.0] });
+            let exchange_conn = harness.exchange_conn(place);
+            harness.handle(Input::GroupState { exchange_conn, report: vec![30.0, 30.0] });
         }
         let mut made = 1;
-        desk.call(made, 1, 1_000);
+        harness.place_call(made, 1, 1_000);
         for _ in 0..400 {
             let (place, call) = (1 + draw.below(3) as usize, 1 + draw.below(made.max(1)));
             match draw.below(10) {
                 0..=3 => {
                     made += 1;
-                    desk.call(made, place as u32, 500 + draw.below(2_400));
+                    harness.place_call(made, place as u32, 500 + draw.below(2_400));
                 }
-                4 | 5 => desk.answer(call, place),
+                4 | 5 => harness.answer(call, place),
                 6 => {
                     let ends = [Outcome::Congested, Outcome::Reset, Outcome::Completed, Outcome::Busy];
                     let end = ends[draw.below(4) as usize];
                     let reason = if end == Outcome::Busy { Reason::UserBusy } else { Reason::Unspecified };
-                    desk.end(call, place, end, reason);
+                    harness.end_call(call, place, end, reason);
                 }
-                7 => desk.put(Input::HangUp { caller_conn: LINK, call: name(call), cause: 16 }),
+                7 => harness.handle(Input::HangUp {
+                    caller_conn: CALLER_CONN,
+                    call: call_uid(call),
+                    cause: 16,
+                }),
                 8 if draw.below(8) == 0 => {
-                    let exchange_conn = desk.way(place);
-                    desk.put(Input::ExchangeDisconnected { exchange_conn });
-                    let exchange_conn = desk.way(place);
-                    desk.put(Input::ExchangeConnected { exchange_conn, carries_calls: false });
+                    let exchange_conn = harness.exchange_conn(place);
+                    harness.handle(Input::ExchangeDisconnected { exchange_conn });
+                    let exchange_conn = harness.exchange_conn(place);
+                    harness.handle(Input::ExchangeConnected { exchange_conn, carries_calls: false });
                 }
-                _ => desk.pass(draw.below(300)),
+                _ => harness.advance(draw.below(300)),
             }
         }
         // Everything ends: what stands is released, what waits runs out.
-        desk.pass(4_000);
+        harness.advance(4_000);
         for call in 1..=made {
-            desk.put(Input::HangUp { caller_conn: LINK, call: name(call), cause: 16 });
+            harness.handle(Input::HangUp { caller_conn: CALLER_CONN, call: call_uid(call), cause: 16 });
         }
-        desk.pass(1_000);
-        check_history(&desk, made);
+        harness.advance(1_000);
+        check_history(&harness, made);
     }
 }
 
@@ -284,7 +288,8 @@
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
         let (config, edge) = (folder.join("config.json"), folder.join("edge.json"));
-        std::fs::write(&config, desk::config_text("127.0.0.1:0", "127.0.0.1:9", &[])).expect("a file");
+        std::fs::write(&config, engine_harness::config_json("127.0.0.1:0", "127.0.0.1:9", &[]))
+            .expect("a file");
         let records = folder.join("records");
         let text = format!(r#"{{"records":{{"enabled":true,"directory":"{}"}}}}"#, records.display());
         std::fs::write(&edge, text).expect("a file");
@@ -457,18 +462,19 @@
         ops::parse_request(b"GET /edge/fleet HTTP/1.1\r\n\r\n", false),
         Err(ops::RequestError::UnknownPath)
     );
-    let mut desk = Desk::new(3);
-    let exchange_conn = desk.way(1);
-    desk.put(Input::GroupState { exchange_conn, report: vec![20.0, 30.0] });
-    desk.call(1, 1, 2_000);
-    desk.call(2, 1, 2_000);
-    desk.answer(1, 1);
-    desk.pass(400);
-    desk.put(Input::List(vec![entry(0, Readiness::Ready), entry(1, Readiness::Draining)]));
-    desk.seen.clear();
-    desk.put(Input::OperatorRequest { request_id: 1, request: OperatorRequest::Fleet });
-    let Some(Effect::ToOperator { reply: ops::OperatorReply::Fleet(text), .. }) = desk.seen.first() else {
-        panic!("{:?}", desk.seen)
+    let mut harness = EngineHarness::new(3);
+    let exchange_conn = harness.exchange_conn(1);
+    harness.handle(Input::GroupState { exchange_conn, report: vec![20.0, 30.0] });
+    harness.place_call(1, 1, 2_000);
+    harness.place_call(2, 1, 2_000);
+    harness.answer(1, 1);
+    harness.advance(400);
+    harness.handle(Input::List(vec![list_entry(0, Readiness::Ready), list_entry(1, Readiness::Draining)]));
+    harness.effects.clear();
+    harness.handle(Input::OperatorRequest { request_id: 1, request: OperatorRequest::Fleet });
+    let Some(Effect::ToOperator { reply: ops::OperatorReply::Fleet(text), .. }) = harness.effects.first()
+    else {
+        panic!("{:?}", harness.effects)
     };
     let json: JsonValue = text.parse().expect("JSON");
     let number = |value: &JsonValue| value.get::<f64>().copied();
@@ -502,7 +508,7 @@
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
     let (config, edge) = (folder.join("config.json"), folder.join("edge.json"));
-    std::fs::write(&config, desk::config_text("127.0.0.1:0", "127.0.0.1:9", &[])).expect("a file");
+    std::fs::write(&config, engine_harness::config_json("127.0.0.1:0", "127.0.0.1:9", &[])).expect("a file");
     let text =
         format!(r#"{{"records":{{"enabled":true,"directory":"{}"}}}}"#, folder.join("records").display());
     std::fs::write(&edge, text).expect("a file");
--- a/tests/replacement.rs
+++ b/tests/replacement.rs
@@ -1,8 +1,8 @@
 //! One process takes the place of another: in virtual time between two engines, and as two started programs that
 //! share a listening socket.
 
-#[path = "common/desk.rs"]
-mod desk;
+#[path = "common/engine_harness.rs"]
+mod engine_harness;
 #[path = "common/peers.rs"]
 mod peers;
 
@@ -14,7 +14,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use desk::{Desk, LINK, config, name};
+use engine_harness::{CALLER_CONN, EngineHarness, call_uid, config};
 use peers::{Exchange, Lines, Phone, ask, launch};
 use swiftlb::Controller;
 use swiftlb::engine::{
@@ -26,26 +26,26 @@
 use swiftlb::net::handover;
 
 /// What one process has said to the other since it was last looked at.
-fn said(desk: &mut Desk) -> Vec<SiblingMessage> {
-    let words = desk.seen.iter().filter_map(|effect| match effect {
+fn said(harness: &mut EngineHarness) -> Vec<SiblingMessage> {
+    let words = harness.effects.iter().filter_map(|effect| match effect {
         Effect::ToSibling(word) => Some(word.clone()),
         _ => None,
     });
     let words = words.collect();
-    desk.seen.clear();
+    harness.effects.clear();
     words
 }
 
-fn listen(from: &mut Desk, to: &mut Desk) {
+fn listen(from: &mut EngineHarness, to: &mut EngineHarness) {
     for word in said(from) {
-        to.put(Input::SiblingMessage(word));
+        to.handle(Input::SiblingMessage(word));
     }
 }
 
 /// A process that takes the place of this one, started from what that hands over.
-fn successor(old: &mut Desk) -> Desk {
-    old.seen.clear();
-    old.put(Input::SiblingMessage(SiblingMessage::HandoverRequest));
+fn successor(old: &mut EngineHarness) -> EngineHarness {
+    old.effects.clear();
+    old.handle(Input::SiblingMessage(SiblingMessage::HandoverRequest));
     let mut inheritance = HandoverState::default();
     for word in said(old) {
         // Through the wire: nothing may be lost on the way.
@@ -59,137 +59,140 @@
             word => panic!("{word:?}"),
         }
     }
-    let mut new = Desk::unconnected(3);
-    new.seen.clear();
+    let mut new = EngineHarness::unconnected(3);
+    new.effects.clear();
     new.now = old.now;
-    new.ways.clear();
-    new.engine =
-        Engine::succeed(&config(3), inheritance, old.now, &mut new.seen).expect("settings that make sense");
-    let ways = new.seen.iter().filter_map(|effect| match effect {
+    new.exchange_conns.clear();
+    new.engine = Engine::take_over(&config(3), inheritance, old.now, &mut new.effects)
+        .expect("settings that make sense");
+    let ways = new.effects.iter().filter_map(|effect| match effect {
         Effect::ConnectExchange { exchange_conn, name, .. } => Some((name.to_string(), *exchange_conn)),
         _ => None,
     });
-    new.ways = ways.collect();
+    new.exchange_conns = ways.collect();
     new
 }
 
 /// Two processes of which the new one serves, and the old one has been told so.
-fn pair(old: &mut Desk) -> Desk {
+fn pair(old: &mut EngineHarness) -> EngineHarness {
     let mut new = successor(old);
-    assert!(new.seen.contains(&Effect::Accept(false)) && !new.seen.contains(&Effect::Accept(true)));
+    assert!(new.effects.contains(&Effect::Accept(false)) && !new.effects.contains(&Effect::Accept(true)));
     for place in [1, 2] {
         assert!(said(&mut new).is_empty(), "it cannot serve yet");
-        new.put(Input::ExchangeConnected { exchange_conn: new.way(place), carries_calls: false });
+        new.handle(Input::ExchangeConnected {
+            exchange_conn: new.exchange_conn(place),
+            carries_calls: false,
+        });
     }
-    assert!(new.seen.contains(&Effect::Accept(true)));
+    assert!(new.effects.contains(&Effect::Accept(true)));
     listen(&mut new, old);
-    assert!(old.seen.contains(&Effect::Accept(false)));
-    new.put(Input::CallerConnected { caller_conn: LINK, front: Front::JsonLines });
+    assert!(old.effects.contains(&Effect::Accept(false)));
+    new.handle(Input::CallerConnected { caller_conn: CALLER_CONN, front: Front::JsonLines });
     new
 }
 
 #[test]
 fn a_new_process_knows_what_the_old_one_has_learned_and_its_list() {
-    let mut old = Desk::new(3);
-    old.put(Input::List([0, 1].map(|place| desk::entry(place, Readiness::Ready)).to_vec()));
-    old.put(Input::ListConfirmed { serial: 7 });
-    old.put(Input::GroupState { exchange_conn: old.way(1), report: vec![0.0, 30.0] });
+    let mut old = EngineHarness::new(3);
+    old.handle(Input::List([0, 1].map(|place| engine_harness::list_entry(place, Readiness::Ready)).to_vec()));
+    old.handle(Input::ListConfirmed { serial: 7 });
+    old.handle(Input::GroupState { exchange_conn: old.exchange_conn(1), report: vec![0.0, 30.0] });
     let mut new = successor(&mut old);
-    assert_eq!(new.ways.len(), 1, "the list of the start has two others");
-    new.put(Input::ExchangeConnected { exchange_conn: new.way(1), carries_calls: false });
-    new.put(Input::CallerConnected { caller_conn: LINK, front: Front::JsonLines });
-    new.call(1, 1, 3_000);
+    assert_eq!(new.exchange_conns.len(), 1, "the list of the start has two others");
+    new.handle(Input::ExchangeConnected { exchange_conn: new.exchange_conn(1), carries_calls: false });
+    new.handle(Input::CallerConnected { caller_conn: CALLER_CONN, front: Front::JsonLines });
+    new.place_call(1, 1, 3_000);
     assert!(
-        matches!(new.told(1)[..], [CallerMessage::Refused { .. }]),
+        matches!(new.caller_messages(1)[..], [CallerMessage::Refused { .. }]),
         "the group is full: {:?}",
-        new.told(1)
+        new.caller_messages(1)
     );
 }
 
 #[test]
 fn the_old_process_leaves_once_nothing_is_open_or_stands() {
-    let mut old = Desk::new(3);
-    old.call(1, 1, 3_000);
+    let mut old = EngineHarness::new(3);
+    old.place_call(1, 1, 3_000);
     old.answer(1, 1);
-    old.call(2, 1, 3_000);
+    old.place_call(2, 1, 3_000);
     let _new = pair(&mut old);
-    old.put(Input::Drain);
-    old.pass(1_000);
-    old.put(Input::HealthCheck { caller_conn: LINK, call: name(99) });
+    old.handle(Input::Drain);
+    old.advance(1_000);
+    old.handle(Input::HealthCheck { caller_conn: CALLER_CONN, call: call_uid(99) });
     assert_eq!(
-        old.told(99),
+        old.caller_messages(99),
         [CallerMessage::HealthCheckResult { passed: true }],
         "the softswitch takes work"
     );
     assert!(
-        !old.seen.contains(&Effect::CloseCallerConnIfIdle { caller_conn: LINK }),
+        !old.effects.contains(&Effect::CloseCallerConnIfIdle { caller_conn: CALLER_CONN }),
         "a set-up is open on it"
     );
     old.answer(2, 1);
-    old.pass(60);
-    assert!(old.seen.contains(&Effect::CloseCallerConnIfIdle { caller_conn: LINK }));
-    old.put(Input::CallerDisconnected { caller_conn: LINK });
-    old.end(1, 1, Outcome::Completed, Reason::Unspecified);
-    old.pass(2_000);
-    assert!(!old.seen.contains(&Effect::Exit), "a call still stands");
+    old.advance(60);
+    assert!(old.effects.contains(&Effect::CloseCallerConnIfIdle { caller_conn: CALLER_CONN }));
+    old.handle(Input::CallerDisconnected { caller_conn: CALLER_CONN });
+    old.end_call(1, 1, Outcome::Completed, Reason::Unspecified);
+    old.advance(2_000);
+    assert!(!old.effects.contains(&Effect::Exit), "a call still stands");
     // Its caller is with the other process by now.
-    old.end(2, 1, Outcome::Completed, Reason::Unspecified);
-    old.pass(60);
-    assert!(old.seen.contains(&Effect::Exit));
-    assert!(said(&mut old).contains(&SiblingMessage::Release { call: name(2), cut: false }));
+    old.end_call(2, 1, Outcome::Completed, Reason::Unspecified);
+    old.advance(60);
+    assert!(old.effects.contains(&Effect::Exit));
+    assert!(said(&mut old).contains(&SiblingMessage::Release { call: call_uid(2), cut: false }));
 }
 
 #[test]
 fn what_concerns_a_call_of_the_other_process_gets_there_and_is_told_once() {
-    let mut old = Desk::new(3);
+    let mut old = EngineHarness::new(3);
     for call in [1, 2, 3] {
-        old.call(call, 1, 3_000);
+        old.place_call(call, 1, 3_000);
         old.answer(call, 1);
     }
     let mut new = pair(&mut old);
     // The caller's release comes to the new process, the exchange's word to either.
-    new.put(Input::HangUp { caller_conn: LINK, call: name(1), cause: 16 });
+    new.handle(Input::HangUp { caller_conn: CALLER_CONN, call: call_uid(1), cause: 16 });
     listen(&mut new, &mut old);
-    assert!(old.sent(1).iter().any(|(_, word)| *word == ExchangeMessage::Release { cause: 16 }));
-    new.end(2, 1, Outcome::Completed, Reason::Unspecified);
-    assert!(new.told(2).is_empty());
+    assert!(old.exchange_messages(1).iter().any(|(_, word)| *word == ExchangeMessage::Release { cause: 16 }));
+    new.end_call(2, 1, Outcome::Completed, Reason::Unspecified);
+    assert!(new.caller_messages(2).is_empty());
     listen(&mut new, &mut old);
-    assert_eq!(old.told(2), [CallerMessage::Released { cut: false }]);
-    old.put(Input::CallerDisconnected { caller_conn: LINK });
-    old.end(3, 1, Outcome::Reset, Reason::Unspecified);
+    assert_eq!(old.caller_messages(2), [CallerMessage::Released { cut: false }]);
+    old.handle(Input::CallerDisconnected { caller_conn: CALLER_CONN });
+    old.end_call(3, 1, Outcome::Reset, Reason::Unspecified);
     listen(&mut old, &mut new);
-    new.call(9, 1, 3_000);
-    assert_eq!(new.told(3), [CallerMessage::Released { cut: true }]);
+    new.place_call(9, 1, 3_000);
+    assert_eq!(new.caller_messages(3), [CallerMessage::Released { cut: true }]);
     // Said again, it is old news on both sides.
-    new.end(3, 1, Outcome::Reset, Reason::Unspecified);
+    new.end_call(3, 1, Outcome::Reset, Reason::Unspecified);
     listen(&mut new, &mut old);
     listen(&mut old, &mut new);
-    assert!(new.told(3).is_empty() && old.told(3).is_empty());
+    assert!(new.caller_messages(3).is_empty() && old.caller_messages(3).is_empty());
 }
 
 #[test]
 fn a_successor_that_dies_leaves_the_old_process_serving_and_an_old_one_that_is_gone_leaves_the_new_one() {
-    let mut old = Desk::new(3);
+    let mut old = EngineHarness::new(3);
     let mut new = pair(&mut old);
-    old.seen.clear();
-    old.put(Input::SiblingDisconnected);
-    assert!(old.seen.contains(&Effect::Accept(true)));
-    old.call(5, 1, 3_000);
-    assert_eq!(old.setups(5), 1);
+    old.effects.clear();
+    old.handle(Input::SiblingDisconnected);
+    assert!(old.effects.contains(&Effect::Accept(true)));
+    old.place_call(5, 1, 3_000);
+    assert_eq!(old.setup_count(5), 1);
     // An end of which nobody knows has nobody else to ask now.
-    new.put(Input::SiblingDisconnected);
-    new.seen.clear();
-    new.end(77, 1, Outcome::Completed, Reason::Unspecified);
+    new.handle(Input::SiblingDisconnected);
+    new.effects.clear();
+    new.end_call(77, 1, Outcome::Completed, Reason::Unspecified);
     assert!(said(&mut new).is_empty());
     // One that dies before it serves had taken nothing.
     let _dead = successor(&mut old);
-    old.put(Input::SiblingDisconnected);
-    assert!(!old.seen.contains(&Effect::Accept(false)));
-    old.put(Input::Drain);
-    old.pass(800);
-    assert!(!old.seen.contains(&Effect::Exit), "a call is open");
-    old.end(5, 1, Outcome::Busy, Reason::UserBusy);
-    assert!(old.seen.contains(&Effect::Exit), "without a successor, as ever");
+    old.handle(Input::SiblingDisconnected);
+    assert!(!old.effects.contains(&Effect::Accept(false)));
+    old.handle(Input::Drain);
+    old.advance(800);
+    assert!(!old.effects.contains(&Effect::Exit), "a call is open");
+    old.end_call(5, 1, Outcome::Busy, Reason::UserBusy);
+    assert!(old.effects.contains(&Effect::Exit), "without a successor, as ever");
 }
 
 #[test]
@@ -212,9 +215,9 @@
     feed(&mut old, start, Event::ProbeResult { exchange, answered: true, elapsed_ms: 0.0, report });
     let sent = |controller: &mut Controller, from: u32, at: f64| {
         let mut actions = Vec::new();
-        let desk = Desk::new(3);
+        let harness = EngineHarness::new(3);
         for call in from..from + 200 {
-            controller.handle(at, Event::Call(desk::new_call(call, 1)), &mut actions);
+            controller.handle(at, Event::Call(engine_harness::new_call(call, 1)), &mut actions);
             controller.handle(
                 at,
                 Event::Answered { call, attempt: 0, exchange, elapsed_ms: 5.0 },
@@ -227,7 +230,7 @@
                 &mut actions,
             );
         }
-        drop(desk);
+        drop(harness);
         actions.iter().filter(|a| matches!(a, swiftlb::interface::Action::Send { .. })).count()
     };
     assert_eq!(sent(&mut old, 1, start), 200);
@@ -324,7 +327,8 @@
     let resolver = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let address = |a: std::io::Result<SocketAddr>| a.expect("an address").to_string();
     let all = ["127.0.0.1:9".to_owned(), exchange.address().to_string()];
-    let text = desk::config_text(&address(listener.local_addr()), &address(resolver.local_addr()), &all);
+    let text =
+        engine_harness::config_json(&address(listener.local_addr()), &address(resolver.local_addr()), &all);
     std::fs::write(folder.0.join("config.json"), text).expect("a file");
     let iax2 = format!(
         r#"{{"enabled":true,"listen":"{}","nodes":[],"contexts":[
