--- a/src/decide.rs
+++ b/src/decide.rs
@@ -3,7 +3,7 @@
 //! Reads top to bottom: constants, state, events, admission, route choice, the one place that sends, what is
 //! learned of other exchanges, upkeep. Time comes from events alone, randomness from the seed alone.
 
-pub mod beliefs;
+pub mod learned;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -269,7 +269,7 @@
     }
 
     /// So many processes make up this softswitch from now on.
-    pub fn share(&mut self, processes: u8) {
+    pub fn set_process_count(&mut self, processes: u8) {
         self.processes = f64::from(processes.max(1));
     }
 
--- a/src/decide/beliefs.rs
+++ b/src/decide/learned.rs
@@ -7,7 +7,7 @@
 /// One thing learned. A reader passes over topics that it does not know and rows that are too short, so that a newer
 /// program can take the place of an older one.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Belief {
+pub struct LearnedValues {
     /// What it is about.
     pub topic: String,
     /// Of which exchange, if it is of one.
@@ -16,8 +16,8 @@
     pub values: Vec<f64>,
 }
 
-fn belief(topic: &str, exchange: Option<ExchangeId>, values: &[f64]) -> Belief {
-    Belief { topic: topic.to_owned(), exchange, values: values.to_vec() }
+fn belief(topic: &str, exchange: Option<ExchangeId>, values: &[f64]) -> LearnedValues {
+    LearnedValues { topic: topic.to_owned(), exchange, values: values.to_vec() }
 }
 
 /// Both halves of a key, each of which a figure holds exactly.
@@ -27,7 +27,7 @@
 
 impl Controller {
     /// Everything worth handing on. What is out is not: it ends where it was sent from.
-    pub fn beliefs(&self) -> Vec<Belief> {
+    pub fn learned_values(&self) -> Vec<LearnedValues> {
         let mut all = vec![belief("common", None, &[self.common, self.common_at])];
         for (id, e) in &self.exchanges {
             let (known, free) = e.free.map_or((0.0, 0.0), |free| (1.0, free));
@@ -55,12 +55,12 @@
     }
 
     /// How long a set-up to this exchange is expected to take until its answer, in ms.
-    pub fn expected_delay(&self, id: ExchangeId) -> f64 {
+    pub fn expected_delay_ms(&self, id: ExchangeId) -> f64 {
         self.expected(id)
     }
 
     /// Goes on from something that another process has learned; what makes no sense is passed over.
-    pub fn adopt(&mut self, belief: &Belief) {
+    pub fn apply_learned(&mut self, belief: &LearnedValues) {
         if belief.values.iter().any(|value| !value.is_finite()) {
             return;
         }
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -13,7 +13,7 @@
 use crate::Controller;
 use crate::config::Config;
 use crate::decide::SettingsError;
-use crate::decide::beliefs::Belief;
+use crate::decide::learned::LearnedValues;
 use crate::interface::{
     Action, CallId, Event, ExchangeId, ListUpdateKind, ListedExchange, NewCall, Number, Outcome, Readiness,
     Reason, ReportField,
--- a/src/engine/notes.rs
+++ b/src/engine/notes.rs
@@ -299,7 +299,7 @@
                 self.note(|_| Event::Avoidance { exchange, avoided: is });
             }
             avoided.push((id, is));
-            let expected_ms = whole_millis(self.module.expected_delay(id));
+            let expected_ms = whole_millis(self.module.expected_delay_ms(id));
             let open_attempts = counts.get(&id).map_or(0, |(open_attempts, _)| *open_attempts) as u32;
             self.note(|_| Event::ExpectedDelay { exchange, expected_ms, open_attempts });
         }
--- a/src/engine/twin.rs
+++ b/src/engine/twin.rs
@@ -7,8 +7,9 @@
 use swiftlb_record::ReleasedBy;
 
 use super::{
-    Belief, CONNECTED, CallUid, CallerMessage, Config, EMPTY_EVERY, Effect, Engine, Front, HandoverState,
-    ListEntry, NO_LINK, Outcome, Readiness, SettingsError, SiblingMessage, SystemTime, Timer, UNLISTED,
+    CONNECTED, CallUid, CallerMessage, Config, EMPTY_EVERY, Effect, Engine, Front, HandoverState,
+    LearnedValues, ListEntry, NO_LINK, Outcome, Readiness, SettingsError, SiblingMessage, SystemTime, Timer,
+    UNLISTED,
 };
 
 /// Descriptors of a process beside its connections to callers and exchanges: standard ones, poll, listeners, the
@@ -45,7 +46,7 @@
             let exchange = name.as_ref().map(|name| engine.by_peer_name.get(name).copied());
             // Of an exchange that is in no list any more.
             if exchange != Some(None) {
-                engine.module.adopt(&Belief { topic, exchange: exchange.flatten(), values });
+                engine.module.apply_learned(&LearnedValues { topic, exchange: exchange.flatten(), values });
             }
         }
         (engine.twin, engine.listed, engine.accepting) = (Some(Role::Predecessor), true, false);
@@ -74,7 +75,7 @@
     /// Takes this process's part of what the softswitch may hold.
     pub(super) fn divide(&mut self) {
         let processes = if self.twin.is_some() { 2 } else { 1 };
-        self.module.share(processes);
+        self.module.set_process_count(processes);
         // Callers hold at most a third of the descriptors; the rest is for exchanges and growth.
         let half = self.sockets / 2;
         let others = OTHER_DESCRIPTORS + 2 * self.peers.len();
@@ -125,7 +126,7 @@
                 readiness: peer.readiness,
             })));
         }
-        for Belief { topic, exchange, values } in self.module.beliefs() {
+        for LearnedValues { topic, exchange, values } in self.module.learned_values() {
             let name: Option<Option<Arc<str>>> = exchange.map(|id| Some(self.peers.get(&id)?.name.clone()));
             if name != Some(None) {
                 let exchange = name.flatten();
--- a/src/engine/view.rs
+++ b/src/engine/view.rs
@@ -47,7 +47,7 @@
                     },
                     group: peer.group,
                     heard,
-                    expected: span(if own { 0.0 } else { self.module.expected_delay(*id) }),
+                    expected: span(if own { 0.0 } else { self.module.expected_delay_ms(*id) }),
                     out,
                     standing,
                     avoided: !own && self.module.avoids(*id),
--- a/tests/replacement.rs
+++ b/tests/replacement.rs
@@ -233,14 +233,14 @@
     assert_eq!(sent(&mut old, 1, start), 200);
     let mut new = Controller::new(settings, 2).expect("settings that make sense");
     feed(&mut new, start, list(0.0));
-    for belief in old.beliefs() {
-        new.adopt(&belief);
+    for belief in old.learned_values() {
+        new.apply_learned(&belief);
     }
-    assert_eq!(new.beliefs(), old.beliefs());
+    assert_eq!(new.learned_values(), old.learned_values());
     // The exchange starts again, cold, while both processes live: two halves are less than one whole.
     let mut alone = old.clone();
     for (controller, processes) in [(&mut old, 2), (&mut new, 2), (&mut alone, 1)] {
-        controller.share(processes);
+        controller.set_process_count(processes);
         feed(controller, start + 100.0, list(start + 100.0));
     }
     let later = start + 600.0;
