--- a/src/engine/notes.rs
+++ b/src/engine/recording.rs
@@ -84,7 +84,7 @@
 
 impl Engine {
     /// Records from now on, beginning with all that a reader has to know first.
-    pub fn record(&mut self, is_replacement: bool, effects: &mut Vec<Effect>) {
+    pub fn start_recording(&mut self, is_replacement: bool, effects: &mut Vec<Effect>) {
         self.notes.on = true;
         let version = env!("CARGO_PKG_VERSION").to_owned();
         self.note(|engine| Event::Started { version, home: engine.home, is_replacement });
@@ -299,7 +299,7 @@
                 self.note(|_| Event::Avoidance { exchange, avoided: is });
             }
             avoided.push((id, is));
-            let expected_ms = whole_millis(self.module.expected_delay(id));
+            let expected_ms = whole_millis(self.module.expected_delay_ms(id));
             let open_attempts = counts.get(&id).map_or(0, |(open_attempts, _)| *open_attempts) as u32;
             self.note(|_| Event::ExpectedDelay { exchange, expected_ms, open_attempts });
         }
