--- a/examples/toy/main.rs
+++ b/examples/toy/main.rs
@@ -9,7 +9,7 @@
 
 use swiftlb::config::parse_json;
 use swiftlb::engine::CallUid;
-use swiftlb::net::jsonl::write_setup;
+use swiftlb::net::jsonl::format_set_up;
 use tinyjson::JsonValue;
 
 /// Where the exchanges of `config.json` listen.
@@ -96,7 +96,7 @@
 fn call(dest: u32) -> Result<(), Box<dyn Error>> {
     let mut stream = TcpStream::connect(SWITCH)?;
     let id = CallUid::from_u64(u64::from(std::process::id()) << 8 | u64::from(dest));
-    let setup = write_setup(id, "unit-status", Duration::from_secs(3), "7f3a9c21e0b4d655", dest);
+    let setup = format_set_up(id, "unit-status", Duration::from_secs(3), "7f3a9c21e0b4d655", dest);
     println!("caller says {setup}");
     stream.write_all(format!("{setup}\n").as_bytes())?;
     for line in BufReader::new(stream).lines() {
--- a/src/config.rs
+++ b/src/config.rs
@@ -25,7 +25,7 @@
     Key(String),
     /// A value makes no sense.
     #[error("key {key} has the value '{value}', which is not one of the known words")]
-    Word {
+    UnknownValue {
         /// The key.
         key: String,
         /// Its value.
@@ -51,21 +51,21 @@
     /// Seed of its random numbers.
     pub seed: u64,
     /// File descriptors that it may hold.
-    pub sockets: usize,
+    pub max_sockets: usize,
     /// Address of the resolver.
-    pub names: SocketAddr,
+    pub resolver: SocketAddr,
     /// Number of the last event that the list of the start holds.
-    pub serial: u32,
+    pub list_serial: u32,
     /// The exchanges of the start.
-    pub known: Vec<ListEntry>,
+    pub exchanges: Vec<ListEntry>,
     /// What the decisions are told.
     pub settings: Settings,
     /// Names of the classes, in the order of `settings.classes`, and how long a caller of each waits at most.
     pub classes: Vec<(String, Duration)>,
     /// Names of the zones.
     pub zones: Vec<String>,
-    /// Names of the values of a load report, in the order of `settings.report`.
-    pub report: Vec<String>,
+    /// Names of the values of a load report, in the order of `settings.report_fields`.
+    pub report_field_names: Vec<String>,
     /// How long a connection to an exchange may take to come up.
     pub connect_timeout: Duration,
 }
@@ -85,7 +85,7 @@
     /// If something that a softswitch cannot do without is missing or makes no sense.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let json = parse_json(text).map_err(ConfigError::NotJson)?;
-        let top = Node { path: String::new(), value: &json };
+        let top = JsonNode { path: String::new(), value: &json };
         let settings = top.get("settings")?;
         let known = top.get("known")?;
         let zones: Vec<String> = settings.get("zones")?.texts()?;
@@ -98,15 +98,15 @@
                 Err(_) => None,
             },
             seed: u64::from_str_radix(&top.text("seed")?, 16)?,
-            sockets: top.get("limits")?.number("sockets")? as usize,
-            names: top.text("names")?.parse()?,
-            serial: known.number("n")? as u32,
-            known: read_known(&known, &zones)?,
+            max_sockets: top.get("limits")?.number("sockets")? as usize,
+            resolver: top.text("names")?.parse()?,
+            list_serial: known.number("n")? as u32,
+            exchanges: read_known(&known, &zones)?,
             classes: classes
                 .iter()
                 .map(|c| Ok((c.text("name")?, duration_from_ms(c.number("hardLimitMs")?))))
                 .collect::<Result<_, ConfigError>>()?,
-            report: settings.get("report")?.get("fields")?.texts()?,
+            report_field_names: settings.get("report")?.get("fields")?.texts()?,
             connect_timeout: duration_from_ms(settings.get("policyLimits")?.number("connectTimeoutMs")?),
             zones,
             settings: read_settings(&settings)?,
@@ -123,11 +123,11 @@
 /// # Errors
 /// If it is malformed or nested too deep.
 pub fn parse_json(text: &str) -> Result<JsonValue, String> {
-    parse_json_to(DEEPEST, text)
+    parse_json_to_depth(DEEPEST, text)
 }
 
 /// The same with another bound, for files that are read on a large stack.
-pub(crate) fn parse_json_to(deepest: usize, text: &str) -> Result<JsonValue, String> {
+pub(crate) fn parse_json_to_depth(deepest: usize, text: &str) -> Result<JsonValue, String> {
     let (mut depth, mut in_string, mut escaped) = (0_usize, false, false);
     for byte in text.bytes() {
         match byte {
@@ -148,12 +148,12 @@
 }
 
 /// A value and the path that leads to it, for errors that say where.
-pub(crate) struct Node<'a> {
+pub(crate) struct JsonNode<'a> {
     pub(crate) path: String,
     pub(crate) value: &'a JsonValue,
 }
 
-impl<'a> Node<'a> {
+impl<'a> JsonNode<'a> {
     fn wrong(&self, key: &str) -> ConfigError {
         ConfigError::Key(self.join(key))
     }
@@ -162,10 +162,10 @@
         if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) }
     }
 
-    pub(crate) fn get(&self, key: &str) -> Result<Node<'a>, ConfigError> {
+    pub(crate) fn get(&self, key: &str) -> Result<JsonNode<'a>, ConfigError> {
         let object = self.value.get::<HashMap<String, JsonValue>>().ok_or_else(|| self.wrong(key))?;
         let value = object.get(key).ok_or_else(|| self.wrong(key))?;
-        Ok(Node { path: self.join(key), value })
+        Ok(JsonNode { path: self.join(key), value })
     }
 
     pub(crate) fn text(&self, key: &str) -> Result<String, ConfigError> {
@@ -190,32 +190,35 @@
     fn choice<T: Copy>(&self, key: &str, choices: &[(&str, T)]) -> Result<T, ConfigError> {
         let value = self.text(key)?;
         let found = choices.iter().find(|(word, _)| *word == value);
-        found.map(|(_, choice)| *choice).ok_or_else(|| ConfigError::Word { key: self.join(key), value })
+        found
+            .map(|(_, choice)| *choice)
+            .ok_or_else(|| ConfigError::UnknownValue { key: self.join(key), value })
     }
 
-    pub(crate) fn items(&self) -> Result<Vec<Node<'a>>, ConfigError> {
+    pub(crate) fn items(&self) -> Result<Vec<JsonNode<'a>>, ConfigError> {
         let items = self.value.get::<Vec<JsonValue>>().ok_or_else(|| ConfigError::Key(self.path.clone()))?;
         Ok(items
             .iter()
             .enumerate()
-            .map(|(i, value)| Node { path: format!("{}.{i}", self.path), value })
+            .map(|(i, value)| JsonNode { path: format!("{}.{i}", self.path), value })
             .collect())
     }
 
     fn texts(&self) -> Result<Vec<String>, ConfigError> {
-        let text =
-            |n: Node<'_>| n.value.get::<String>().cloned().ok_or_else(|| ConfigError::Key(n.path.clone()));
+        let text = |n: JsonNode<'_>| {
+            n.value.get::<String>().cloned().ok_or_else(|| ConfigError::Key(n.path.clone()))
+        };
         self.items()?.into_iter().map(text).collect()
     }
 
     fn numbers(&self) -> Result<Vec<f64>, ConfigError> {
         let number =
-            |n: Node<'_>| n.value.get::<f64>().copied().ok_or_else(|| ConfigError::Key(n.path.clone()));
+            |n: JsonNode<'_>| n.value.get::<f64>().copied().ok_or_else(|| ConfigError::Key(n.path.clone()));
         self.items()?.into_iter().map(number).collect()
     }
 }
 
-fn read_settings(s: &Node<'_>) -> Result<Settings, ConfigError> {
+fn read_settings(s: &JsonNode<'_>) -> Result<Settings, ConfigError> {
     let (limits, rules, facts) = (s.get("policyLimits")?, s.get("invariants")?, s.get("specifics")?);
     let pools = facts.choice("shape", &[("meshed", false), ("groups", true)])?;
     let home = facts.number("homeOffice")?;
@@ -265,7 +268,7 @@
     })
 }
 
-fn read_classes(s: &Node<'_>, facts: &Node<'_>, pools: bool) -> Result<Vec<Class>, ConfigError> {
+fn read_classes(s: &JsonNode<'_>, facts: &JsonNode<'_>, pools: bool) -> Result<Vec<Class>, ConfigError> {
     let widths = facts.get("channelsNeeded")?.numbers()?;
     let holds = facts.get("classHoldMs")?.numbers()?;
     let cells = facts.get("classCells")?.items()?;
@@ -315,7 +318,7 @@
 }
 
 /// Plays the events of the start in order: the first holds the whole list, later ones what has changed.
-fn read_known(known: &Node<'_>, zones: &[String]) -> Result<Vec<ListEntry>, ConfigError> {
+fn read_known(known: &JsonNode<'_>, zones: &[String]) -> Result<Vec<ListEntry>, ConfigError> {
     let mut entries: Vec<ListEntry> = Vec::new();
     for event in known.get("events")?.items()? {
         let members = event.get("members")?;
@@ -333,7 +336,7 @@
     Ok(entries)
 }
 
-fn read_member(member: &Node<'_>, zones: &[String]) -> Result<ListEntry, ConfigError> {
+fn read_member(member: &JsonNode<'_>, zones: &[String]) -> Result<ListEntry, ConfigError> {
     let states = [
         ("in_service", Readiness::Ready),
         ("terminating", Readiness::Draining),
--- a/src/edge.rs
+++ b/src/edge.rs
@@ -46,49 +46,49 @@
 
 /// What is switched on beyond the platform's own configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Edge {
+pub struct EdgeSettings {
     /// Records of calls and decisions.
     pub records: Option<RecorderSettings>,
     /// What this softswitch knows of the fleet is told to consoles, at `/edge/fleet` of the operators' door.
-    pub fleet: bool,
+    pub fleet_endpoint: bool,
     /// For rehearsals: a clock that is off.
-    pub rehearsal: Rehearsal,
+    pub clock_skew: ClockSkew,
 }
 
 /// A clock for records that is off, so that it can be rehearsed what one does to a report. Nothing else reads it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Rehearsal {
+pub struct ClockSkew {
     /// Ahead of the time at the start by so many ms; behind it if negative.
     pub ahead_ms: i64,
     /// Gains so many microseconds a second.
     pub drift_ppm: i64,
 }
 
-impl Rehearsal {
+impl ClockSkew {
     /// The clock, if it is set at this moment.
-    pub fn from(self, start: SystemTime) -> SkewedClock {
+    pub fn start_clock(self, start: SystemTime) -> SkewedClock {
         let start_us = start.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
-        SkewedClock { start_us, rehearsal: self }
+        SkewedClock { start_us, skew: self }
     }
 }
 
-/// See [`Rehearsal`].
+/// See [`ClockSkew`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SkewedClock {
     start_us: u64,
-    rehearsal: Rehearsal,
+    skew: ClockSkew,
 }
 
 impl SkewedClock {
     /// What it shows at this time, both in Unix microseconds.
-    pub fn shows(&self, at_us: u64) -> u64 {
-        let Rehearsal { ahead_ms, drift_ppm } = self.rehearsal;
+    pub fn skewed_us(&self, at_us: u64) -> u64 {
+        let ClockSkew { ahead_ms, drift_ppm } = self.skew;
         let gone_us = at_us.saturating_sub(self.start_us).min(1 << 50) as i64;
         at_us.saturating_add_signed(ahead_ms * 1_000 + gone_us / 1_000 * drift_ppm / 1_000)
     }
 }
 
-impl Edge {
+impl EdgeSettings {
     /// Reads the file. One that is not there means that all is off, unless it was asked for by name.
     ///
     /// # Errors
@@ -121,11 +121,11 @@
         }
         if let Some(fleet) = top.section("fleet")? {
             fleet.knows(&["enabled"])?;
-            edge.fleet = fleet.flag("enabled")?;
+            edge.fleet_endpoint = fleet.flag("enabled")?;
         }
         if let Some(rehearsal) = top.section("rehearsal")? {
             rehearsal.knows(&["clock_ahead_ms", "clock_drift_ppm"])?;
-            edge.rehearsal = Rehearsal {
+            edge.clock_skew = ClockSkew {
                 ahead_ms: rehearsal.signed("clock_ahead_ms", -60_000..=60_000)?,
                 drift_ppm: rehearsal.signed("clock_drift_ppm", -1_000..=1_000)?,
             };
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -18,7 +18,7 @@
     Action, CallId, Event, ExchangeId, ListUpdateKind, ListedExchange, NewCall, Number, Outcome, Readiness,
     Reason, ReportField,
 };
-use crate::ops::{Figures, Now, OperatorReply, OperatorRequest};
+use crate::ops::{Gauges, Metrics, OperatorReply, OperatorRequest};
 
 mod exchanges;
 mod messages;
@@ -251,7 +251,7 @@
     /// It was told to stop, and another process has taken its place.
     leaving: bool,
     serial: u32,
-    figures: Figures,
+    figures: Metrics,
     notes: Notes,
     /// Places of the free circuits and of the size of the group in a report.
     in_report: (Option<usize>, Option<usize>),
@@ -304,15 +304,15 @@
             twin: None,
             accepting: true,
             leaving: false,
-            serial: config.serial,
-            figures: Figures::default(),
+            serial: config.list_serial,
+            figures: Metrics::default(),
             notes: Notes::default(),
             in_report: (None, None),
             started: now,
             listed: false,
         };
         engine.configure(config);
-        engine.learn_list(config.known.clone(), ListUpdateKind::Cached, effects);
+        engine.learn_list(config.exchanges.clone(), ListUpdateKind::Cached, effects);
         engine.run_module(effects);
         Ok(engine)
     }
@@ -401,7 +401,7 @@
             }
             Input::SiblingMessage(word) => self.hear_twin(word, effects),
             Input::SiblingDisconnected => self.lose_twin(effects),
-            Input::AttemptsWritten { attempts } => self.figures.attempted(attempts),
+            Input::AttemptsWritten { attempts } => self.figures.count_attempts(attempts),
             Input::OperatorRequest { request_id, request } => {
                 let reply = self.operate(request);
                 effects.push(Effect::ToOperator { request_id, reply });
@@ -444,10 +444,10 @@
                 let avoided =
                     |id: &ExchangeId, peer: &Peer| Some(peer.number) != self.home && self.module.avoids(*id);
                 let unavailable = listed().filter(|(id, peer)| avoided(id, peer)).count();
-                let now = Now { pending: self.calls.len(), members: listed().count(), unavailable };
-                OperatorReply::Metrics(self.figures.text(now))
+                let now = Gauges { pending: self.calls.len(), members: listed().count(), unavailable };
+                OperatorReply::Metrics(self.figures.prometheus_text(now))
             }
-            OperatorRequest::Fleet => OperatorReply::Fleet(self.fleet().json()),
+            OperatorRequest::Fleet => OperatorReply::Fleet(self.fleet().to_json()),
             OperatorRequest::DrainStart => {
                 if self.emptying.is_none() {
                     self.note_drain(true, DrainSource::Operator);
@@ -487,7 +487,7 @@
         }
         self.configure(&config);
         self.note_classes();
-        effects.push(Effect::Log(format!("configuration read again, resolver at {}", config.names)));
+        effects.push(Effect::Log(format!("configuration read again, resolver at {}", config.resolver)));
         effects.push(Effect::Reconfigure(config));
     }
 
@@ -495,13 +495,13 @@
         let set = &config.settings;
         let classes = config.classes.iter().zip(&set.classes);
         self.classes = classes.map(|((name, most), class)| (name.clone(), class.width, *most)).collect();
-        self.figures.know(config.classes.iter().map(|(name, _)| name.clone()));
+        self.figures.add_classes(config.classes.iter().map(|(name, _)| name.clone()));
         self.home = set.home;
         self.try_limit = set.attempt_limit;
         self.release_pause = duration_from_ms(set.release_pause_ms);
         self.drain_grace = duration_from_ms(set.drain_grace_ms);
         self.most_wait = duration_from_ms(set.max_retry_after_ms);
-        self.sockets = config.sockets;
+        self.sockets = config.max_sockets;
         let place = |field| set.report_fields.iter().position(|known| *known == field);
         self.in_report = (place(ReportField::FreeCircuits), place(ReportField::TotalCircuits));
         self.divide();
@@ -714,7 +714,7 @@
         // Handsets have no front that stops sending: they are told themselves.
         let sent_away = (self.emptying.is_some() || self.leaving) && front == Front::Iax2;
         if sent_away || self.open >= MOST_OPEN || self.open_bytes + bytes > MOST_OPEN_BYTES {
-            self.figures.rejected(&setup.class);
+            self.figures.count_rejected(&setup.class);
             let why = if sent_away { RefusalReason::Draining } else { RefusalReason::TooManySetUps };
             self.note_refusal(name, why, self.most_wait);
             let message = CallerMessage::Refused { retry_after: self.most_wait };
@@ -788,11 +788,11 @@
         let Some(call) = self.forget(id, effects) else { return };
         match message {
             CallerMessage::Refused { retry_after } => {
-                self.figures.rejected(&call.class);
+                self.figures.count_rejected(&call.class);
                 self.note_refused(&call, retry_after);
             }
             CallerMessage::Failed { busy } => {
-                self.figures.failed(&call.class);
+                self.figures.count_failed(&call.class);
                 match why {
                     Some(why) => self.note_failure(call.name, why),
                     None => self.note_failed(&call, busy),
@@ -1253,7 +1253,7 @@
         let Phase::Out { sent, .. } = call.phase else { return };
         call.phase = Phase::Standing { at: peer };
         // A call may stand for long; what only its set-up needed is given back.
-        self.figures.completed(&std::mem::take(&mut call.class));
+        self.figures.count_completed(&std::mem::take(&mut call.class));
         call.key = None;
         let asked = call.description.take();
         let (attempt, elapsed_ms) = (call.attempts - 1, duration_to_ms(since(sent, self.now)));
--- a/src/engine/recording.rs
+++ b/src/engine/recording.rs
@@ -200,7 +200,7 @@
     }
 
     pub(super) fn note_refusal(&mut self, name: CallUid, reason: RefusalReason, wait: Duration) {
-        self.figures.refused_for(reason.label());
+        self.figures.count_refusal(reason.label());
         let retry_after_ms = wait.as_millis() as u32;
         self.note(|_| Event::Refused { call: recorded(name), reason, retry_after_ms });
     }
--- a/src/engine/sibling.rs
+++ b/src/engine/sibling.rs
@@ -40,7 +40,7 @@
         effects: &mut Vec<Effect>,
     ) -> Result<Self, SettingsError> {
         let HandoverState { list, serial, learned } = inheritance;
-        let config = Config { known: list, serial, ..config.clone() };
+        let config = Config { exchanges: list, list_serial: serial, ..config.clone() };
         let mut engine = Self::new(&config, now, effects)?;
         for (topic, name, values) in learned {
             let exchange = name.as_ref().map(|name| engine.by_peer_name.get(name).copied());
--- a/src/engine/status.rs
+++ b/src/engine/status.rs
@@ -4,7 +4,7 @@
 use std::time::UNIX_EPOCH;
 
 use super::{Engine, ExchangeId, Phase, Readiness, Way, duration_from_ms, since};
-use crate::ops::{Fleet, Seen};
+use crate::ops::{ExchangeState, Fleet};
 
 impl Engine {
     /// Attempts out and calls that stand, by exchange.
@@ -25,7 +25,7 @@
         let counts = self.calls_by_exchange();
         let stands: usize = counts.values().map(|(_, standing)| standing).sum();
         let listed = self.peers.iter().filter(|(_, peer)| peer.readiness != Readiness::Removed);
-        let mut exchanges: Vec<Seen> = listed
+        let mut exchanges: Vec<ExchangeState> = listed
             .map(|(id, peer)| {
                 let own = Some(peer.number) == self.home;
                 let heard = match peer.way {
@@ -35,35 +35,39 @@
                     _ => None,
                 };
                 let (out, standing) = counts.get(id).copied().unwrap_or_default();
-                Seen {
-                    exchange: peer.number,
+                ExchangeState {
+                    number: peer.number,
                     name: peer.name.to_string(),
-                    listing: if peer.readiness == Readiness::Ready { "ready" } else { "draining" },
-                    way: match peer.way {
+                    readiness: if peer.readiness == Readiness::Ready { "ready" } else { "draining" },
+                    connection: match peer.way {
                         _ if own => "own",
                         Way::Up(_) => "up",
                         Way::Dialling(_) => "opening",
                         Way::Down => "down",
                     },
                     group: peer.group,
-                    heard,
-                    expected: duration_from_ms(if own { 0.0 } else { self.module.expected_delay_ms(*id) }),
-                    out,
-                    standing,
+                    since_heard: heard,
+                    expected_delay: duration_from_ms(if own {
+                        0.0
+                    } else {
+                        self.module.expected_delay_ms(*id)
+                    }),
+                    open_attempts: out,
+                    established_calls: standing,
                     avoided: !own && self.module.avoids(*id),
                 }
             })
             .collect();
-        exchanges.sort_by(|a, b| (a.exchange, &a.name).cmp(&(b.exchange, &b.name)));
+        exchanges.sort_by(|a, b| (a.number, &a.name).cmp(&(b.number, &b.name)));
         Fleet {
             softswitch: self.name.clone(),
             home: self.home,
             at_us: since(UNIX_EPOCH, self.now).as_micros() as u64,
-            up: since(self.started, self.now),
+            uptime: since(self.started, self.now),
             draining: self.emptying.is_some() || self.draining_since.is_some() || self.leaving,
             calls: (self.calls.len() - stands, stands),
-            ended: self.figures.ended(),
-            refused: self.figures.refusals(),
+            totals: self.figures.totals(),
+            refusals: self.figures.refusals(),
             exchanges,
         }
     }
--- a/src/iax2/mod.rs
+++ b/src/iax2/mod.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
 
-use crate::config::{ConfigError, Node, parse_json};
+use crate::config::{ConfigError, JsonNode, parse_json};
 use crate::engine::{CallUid, CallerConnId, CallerMessage, ExchangeConnId, ExchangeMessage, Input, SetUp};
 use crate::interface::{Number, Outcome, Reason};
 use element::{G711_FORMATS, InformationElements, PROTOCOL_VERSION, cause_elements, outcome_of};
@@ -55,17 +55,17 @@
     /// If it is malformed; the error names the key.
     pub fn parse(text: &str) -> Result<Option<Self>, ConfigError> {
         let json = parse_json(text).map_err(ConfigError::NotJson)?;
-        let top = Node { path: String::new(), value: &json };
+        let top = JsonNode { path: String::new(), value: &json };
         if !top.flag("enabled")? {
             return Ok(None);
         }
-        let number = |node: &Node<'_>| {
+        let number = |node: &JsonNode<'_>| {
             let number = node.value.get::<f64>().copied().filter(|n| (0.0..=65_535.0).contains(n));
             number.map(|n| n as Number).ok_or_else(|| ConfigError::Key(node.path.clone()))
         };
-        let read_context = |context: &Node<'_>| {
+        let read_context = |context: &JsonNode<'_>| {
             let numbers = context.get("numbers")?.items()?;
-            let read = |n: &Node<'_>| Ok((n.text("prefix")?, number(&n.get("exchange")?)?));
+            let read = |n: &JsonNode<'_>| Ok((n.text("prefix")?, number(&n.get("exchange")?)?));
             Ok(Context {
                 name: context.text("context")?,
                 class: context.text("class")?,
--- a/src/load/har.rs
+++ b/src/load/har.rs
@@ -5,7 +5,7 @@
 use chrono::DateTime;
 
 use super::{LoadError, RecordedCall, RecordedLoad, path_of};
-use crate::config::{ConfigError, Node, parse_json_to};
+use crate::config::{ConfigError, JsonNode, parse_json_to_depth};
 
 /// Deepest nesting of a HAR file: browsers nest the stacks that led to a request.
 const DEEPEST: usize = 400;
@@ -15,8 +15,8 @@
 /// # Errors
 /// If it is not JSON or has no list of entries.
 pub fn parse(text: &str) -> Result<RecordedLoad, LoadError> {
-    let json = parse_json_to(DEEPEST, text).map_err(LoadError::InvalidHar)?;
-    let top = Node { path: String::new(), value: &json };
+    let json = parse_json_to_depth(DEEPEST, text).map_err(LoadError::InvalidHar)?;
+    let top = JsonNode { path: String::new(), value: &json };
     let invalid_har = |error: ConfigError| LoadError::InvalidHar(error.to_string());
     let entries = top.get("log").and_then(|log| log.get("entries")?.items()).map_err(invalid_har)?;
     let mut load = RecordedLoad::default();
@@ -30,7 +30,7 @@
     Ok(load)
 }
 
-fn parse_entry(entry: &Node<'_>) -> Option<RecordedCall> {
+fn parse_entry(entry: &JsonNode<'_>) -> Option<RecordedCall> {
     let started = DateTime::parse_from_rfc3339(&entry.text("startedDateTime").ok()?).ok()?;
     let elapsed = entry.number("time").ok().filter(|ms| *ms >= 0.0);
     let status = entry.get("response").and_then(|r| r.number("status")).unwrap_or(0.0);
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 use crate::engine::CallUid;
-use crate::net::jsonl::write_setup;
+use crate::net::jsonl::format_set_up;
 
 pub mod clf;
 pub mod har;
@@ -102,7 +102,7 @@
             let dest = plan.dest.unwrap_or_else(|| (hash % u64::from(plan.exchanges.max(1))) as u32);
             let call = CallUid::from_u64(hash.rotate_left(32) ^ (i as u64 + 1));
             let key = format!("{hash:016x}");
-            (self.offset(offer), write_setup(call, &plan.class, plan.remaining, &key, dest))
+            (self.offset(offer), format_set_up(call, &plan.class, plan.remaining, &key, dest))
         })
     }
 }
--- a/src/log.rs
+++ b/src/log.rs
@@ -26,19 +26,19 @@
 /// A word that is no format or no level.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("'{word}': expected {expected}")]
-pub struct UnknownWord {
+pub struct UnknownValue {
     word: String,
     expected: &'static str,
 }
 
 impl FromStr for LogFormat {
-    type Err = UnknownWord;
+    type Err = UnknownValue;
 
-    fn from_str(word: &str) -> Result<Self, UnknownWord> {
+    fn from_str(word: &str) -> Result<Self, UnknownValue> {
         match word {
             "text" => Ok(Self::Text),
             "json" => Ok(Self::Json),
-            _ => Err(UnknownWord { word: word.to_owned(), expected: "text or json" }),
+            _ => Err(UnknownValue { word: word.to_owned(), expected: "text or json" }),
         }
     }
 }
@@ -47,11 +47,11 @@
 ///
 /// # Errors
 /// If it is not one of the six words.
-pub fn level(word: &str) -> Result<LevelFilter, UnknownWord> {
+pub fn parse_level(word: &str) -> Result<LevelFilter, UnknownValue> {
     let known = ["off", "error", "warn", "info", "debug", "trace"];
     let level = known.contains(&word).then(|| word.parse().ok()).flatten();
     let expected = "off, error, warn, info, debug or trace";
-    level.ok_or_else(|| UnknownWord { word: word.to_owned(), expected })
+    level.ok_or_else(|| UnknownValue { word: word.to_owned(), expected })
 }
 
 /// The log while it is open. What still waits is written when this is dropped, for a second at most.
--- a/src/main.rs
+++ b/src/main.rs
@@ -9,13 +9,13 @@
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook::iterator::Signals;
 use swiftlb::config::Config;
-use swiftlb::edge::Edge;
+use swiftlb::edge::EdgeSettings;
 use swiftlb::engine::Input;
 use swiftlb::iax2::Iax2Config;
 use swiftlb::load::{RecordedLoad, SetUpOptions};
 use swiftlb::log::{self, Log, LogFormat};
-use swiftlb::net::handover::adopt;
-use swiftlb::net::{Message, Server};
+use swiftlb::net::handover::listener_from_fd;
+use swiftlb::net::{LoopMessage, Server};
 use tracing_subscriber::filter::LevelFilter;
 
 const USAGE: &str = "\
@@ -60,7 +60,7 @@
             Long("iax2") => iax2_file = Some(parser.value()?.string()?),
             Long("edge") => edge_file = Some(parser.value()?.string()?),
             Long("log-format") => format = in_option("--log-format", parser.value()?.string()?.parse())?,
-            Long("log") => least = in_option("--log", log::level(&parser.value()?.string()?))?,
+            Long("log") => least = in_option("--log", log::parse_level(&parser.value()?.string()?))?,
             Long("help") | Short('h') => {
                 println!("{USAGE}");
                 return Ok(());
@@ -71,8 +71,8 @@
         }
     }
     let edge = || match &edge_file {
-        Some(file) => Edge::load(file, true),
-        None => Edge::load(EDGE_FILE, false),
+        Some(file) => EdgeSettings::load(file, true),
+        None => EdgeSettings::load(EDGE_FILE, false),
     };
     match command.as_deref().unwrap_or("serve") {
         "serve" => {
@@ -81,7 +81,12 @@
         }
         "check-config" => {
             let config = Config::load(&config_path(file)?)?;
-            println!("{}: {} exchanges, {} classes", config.name, config.known.len(), config.classes.len());
+            println!(
+                "{}: {} exchanges, {} classes",
+                config.name,
+                config.exchanges.len(),
+                config.classes.len()
+            );
             match iax2(iax2_file)? {
                 Some(iax2) => println!("IAX2 on {}", iax2.listen),
                 None => println!("IAX2 off"),
@@ -172,12 +177,12 @@
 /// The listening socket that the platform holds and names in $NODE_FD.
 fn inherited_listener() -> Option<TcpListener> {
     let number = std::env::var("NODE_FD").ok().filter(|number| !number.is_empty())?;
-    let adopted = number.parse().map_err(std::io::Error::other).and_then(adopt);
+    let adopted = number.parse().map_err(std::io::Error::other).and_then(listener_from_fd);
     // Without it the address may still be free.
     adopted.inspect_err(|error| tracing::warn!(number, %error, "inherited descriptor")).ok()
 }
 
-fn serve(path: &str, iax2: Option<Iax2Config>, edge: Edge) -> Result<(), Box<dyn Error>> {
+fn serve(path: &str, iax2: Option<Iax2Config>, edge: EdgeSettings) -> Result<(), Box<dyn Error>> {
     // First of all: until they are handled, either signal ends the process without a word.
     let mut signals = Signals::new([SIGTERM, SIGHUP])?;
     let mut config = Config::load(path)?;
@@ -186,12 +191,12 @@
         config.operator = Some(address.parse().map_err(|error| format!("NODE_OPERATOR: {error}"))?);
     }
     let server = match inherited_listener() {
-        Some(listener) => Server::inherit(listener, &std::env::temp_dir(), config, iax2)?,
+        Some(listener) => Server::from_inherited(listener, &std::env::temp_dir(), config, iax2)?,
         None => Server::bind(config, iax2)?,
     }
     .with_edge(edge);
-    let (to_loop, path) = (server.inbox(), path.to_owned());
-    swiftlb::net::connection::small_thread("signals", move || {
+    let (loop_sender, path) = (server.loop_sender(), path.to_owned());
+    swiftlb::net::connection::spawn_small_thread("signals", move || {
         for signal in signals.forever() {
             let input = match signal {
                 SIGHUP => match Config::load(&path) {
@@ -203,7 +208,7 @@
                 },
                 _ => Input::Drain,
             };
-            if to_loop.send(Message::Input(input)).is_err() {
+            if loop_sender.send(LoopMessage::Input(input)).is_err() {
                 return;
             }
         }
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -16,7 +16,7 @@
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 
-use super::jsonl::{Cut, Lines};
+use super::jsonl::{LineSplitter, SplitLine};
 
 /// Stack of a thread that serves a socket; the deepest thing it does is to parse one bounded message.
 pub const STACK: usize = 128 * 1024;
@@ -66,7 +66,7 @@
     stream: TcpStream,
     /// Until when it may take to come up; `None` once it has.
     opening: Option<SystemTime>,
-    lines: Lines,
+    lines: LineSplitter,
     /// When the line began that has not ended yet.
     begun: Option<SystemTime>,
     patience: Duration,
@@ -88,7 +88,7 @@
         Self {
             stream,
             opening,
-            lines: Lines::default(),
+            lines: LineSplitter::default(),
             begun: None,
             patience,
             deaf: false,
@@ -150,7 +150,7 @@
 
     /// Reads what is there and hands on each line with the time at which its last byte came, until `each` says
     /// that nothing more is wanted.
-    pub fn receive(&mut self, mut each: impl FnMut(Cut, SystemTime) -> ControlFlow<()>) -> Received {
+    pub fn receive(&mut self, mut each: impl FnMut(SplitLine, SystemTime) -> ControlFlow<()>) -> Received {
         if self.deaf {
             return Received::All;
         }
@@ -263,16 +263,16 @@
 
 /// Connections that their callers closed a moment ago: whether all was read shows a little later. No more than
 /// this many are kept for that, since they hold descriptors that no limit counts.
-pub const MOST_ECHOES: usize = 32;
+pub const MAX_CLOSED_CONNECTIONS: usize = 32;
 
 /// Closed connections, oldest first, each with its id and until when it is kept.
 #[derive(Debug, Default)]
-pub struct Echoes(VecDeque<(SystemTime, u64, Connection)>);
+pub struct ClosedConnections(VecDeque<(SystemTime, u64, Connection)>);
 
-impl Echoes {
+impl ClosedConnections {
     /// Keeps one more; the oldest makes room, and is given back if it went unread.
     pub fn keep(&mut self, until: SystemTime, id: u64, connection: Connection) -> Option<u64> {
-        let full = self.0.len() >= MOST_ECHOES;
+        let full = self.0.len() >= MAX_CLOSED_CONNECTIONS;
         let made_room = if full { self.pop() } else { None };
         self.0.push_back((until, id, connection));
         made_room
@@ -306,6 +306,6 @@
 ///
 /// # Errors
 /// If the system has none left.
-pub fn small_thread(name: &str, run: impl FnOnce() + Send + 'static) -> io::Result<JoinHandle<()>> {
+pub fn spawn_small_thread(name: &str, run: impl FnOnce() + Send + 'static) -> io::Result<JoinHandle<()>> {
     Builder::new().name(name.to_owned()).stack_size(STACK).spawn(run)
 }
--- a/src/net/dns.rs
+++ b/src/net/dns.rs
@@ -35,7 +35,7 @@
     Malformed(#[from] simple_dns::SimpleDnsError),
     /// It is not the answer to this query.
     #[error("answer to another query")]
-    Stray,
+    UnknownId,
     /// The resolver says that it failed, or cut the answer short.
     #[error("the resolver failed")]
     Failed,
@@ -44,14 +44,14 @@
     NoSerial,
     /// It lists nothing, or records of something that it lists are missing.
     #[error("answer is not whole")]
-    Partial,
+    Incomplete,
 }
 
 /// A query for the list.
 ///
 /// # Errors
 /// Never for the name it asks for; the error is the message writer's.
-pub fn query(id: u16) -> Result<Vec<u8>, simple_dns::SimpleDnsError> {
+pub fn build_query(id: u16) -> Result<Vec<u8>, simple_dns::SimpleDnsError> {
     let mut packet = Packet::new_query(id);
     packet.set_flags(PacketFlag::RECURSION_DESIRED);
     let name = Name::new(SERVICE)?;
@@ -61,7 +61,7 @@
 
 /// Whether one serial is later than another (RFC 1982): they count round, and a late or repeated answer may
 /// hold an older list, which must not undo what a newer one has told.
-pub fn is_later(serial: u32, than: u32) -> bool {
+pub fn is_newer_serial(serial: u32, than: u32) -> bool {
     (1..1 << 31).contains(&serial.wrapping_sub(than))
 }
 
@@ -70,14 +70,14 @@
 /// # Errors
 /// If it cannot be read, answers another query, or holds no serial or no whole list: an exchange that is not
 /// listed counts as gone, so a list with a hole in it would cut all calls there.
-pub fn read_answer(
+pub fn parse_answer(
     awaited: &[u16],
     bytes: &[u8],
     zones: &[String],
 ) -> Result<(u32, Vec<ListEntry>), AnswerError> {
     let packet = Packet::parse(bytes)?;
     if !awaited.contains(&packet.id()) || !packet.has_flags(PacketFlag::RESPONSE) {
-        return Err(AnswerError::Stray);
+        return Err(AnswerError::UnknownId);
     }
     if packet.rcode() != simple_dns::RCODE::NoError || packet.has_flags(PacketFlag::TRUNCATION) {
         return Err(AnswerError::Failed);
@@ -114,20 +114,20 @@
         RData::SRV(srv) => Some(entry(&srv.target, srv.port, srv.priority)),
         _ => None,
     });
-    let entries: Vec<ListEntry> = entries.collect::<Option<_>>().ok_or(AnswerError::Partial)?;
-    if entries.is_empty() { Err(AnswerError::Partial) } else { Ok((serial, entries)) }
+    let entries: Vec<ListEntry> = entries.collect::<Option<_>>().ok_or(AnswerError::Incomplete)?;
+    if entries.is_empty() { Err(AnswerError::Incomplete) } else { Ok((serial, entries)) }
 }
 
 /// Where the list is to be had, and the zones that its names lie in.
 #[derive(Clone, Debug)]
-pub struct Source {
+pub struct ListSource {
     /// Address of the resolver.
     pub resolver: SocketAddr,
     /// Names of the zones.
     pub zones: Vec<String>,
 }
 
-impl Source {
+impl ListSource {
     fn socket(&self) -> std::io::Result<UdpSocket> {
         let any: SocketAddr =
             if self.resolver.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0u16; 8], 0).into() };
@@ -143,11 +143,11 @@
 ///
 /// # Errors
 /// If no socket can be had at the start.
-pub fn follow(
-    mut source: Source,
+pub fn follow_list(
+    mut source: ListSource,
     mut serial: u32,
     seed: u64,
-    moves: &Receiver<Source>,
+    moves: &Receiver<ListSource>,
     mut news: impl FnMut(u32, Option<Vec<ListEntry>>) -> bool,
 ) -> std::io::Result<()> {
     let mut socket = source.socket()?;
@@ -171,7 +171,7 @@
             awaited.pop_front();
         }
         awaited.push_back(id);
-        if let Ok(query) = query(id) {
+        if let Ok(query) = build_query(id) {
             // A query that is refused or lost is repeated at the next turn.
             let _ = socket.send(&query);
         }
@@ -191,9 +191,9 @@
                 }
             };
             if let Ok((last, entries)) =
-                read_answer(awaited.make_contiguous(), &buffer[..length], &source.zones)
+                parse_answer(awaited.make_contiguous(), &buffer[..length], &source.zones)
             {
-                let news_is = is_later(last, serial);
+                let news_is = is_newer_serial(last, serial);
                 let first = !std::mem::replace(&mut confirmed, true);
                 if news_is {
                     serial = last;
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -12,12 +12,12 @@
 use mio::{Interest, Registry, Token};
 use swiftlb_record::{Record, Recorder};
 
-use super::Message;
-use super::connection::{Connection, Echoes, Ending, Late, Received};
-use super::dns::Source;
-use super::door::{Door, Ticket};
+use super::LoopMessage;
+use super::connection::{ClosedConnections, Connection, Ending, Late, Received};
+use super::dns::ListSource;
 use super::handover::Handover;
-use super::jsonl::{self, Cut, FromCaller, FromExchange, LineError};
+use super::jsonl::{self, CallerLine, ExchangeLine, LineError, SplitLine};
+use super::operator::{OperatorServer, RequestId};
 use crate::config::Config;
 use crate::edge::SkewedClock;
 use crate::engine::{CallUid, CallerConnId, Effect, ExchangeConnId, ExchangeMessage, Front, Input};
@@ -82,7 +82,7 @@
 pub(super) struct Driver {
     report: Arc<[String]>,
     connect_timeout: Duration,
-    source: Sender<Source>,
+    source: Sender<ListSource>,
     registry: Registry,
     listener: TcpListener,
     /// When to try to accept again, if not all that wait have been accepted.
@@ -91,14 +91,14 @@
     conns: HashMap<ExchangeConnId, Connection>,
     /// Connections that are closed once their last words are written, and until when they have for that.
     closing: Vec<(SystemTime, Connection)>,
-    echoes: Echoes,
+    closed_connections: ClosedConnections,
     /// Those with messages to be written, and those with more to be read.
     unsent: Vec<Token>,
     ready: Vec<Token>,
     sweep_at: SystemTime,
     /// Whether connections from callers are taken.
     accepting: bool,
-    door: Option<Door>,
+    door: Option<OperatorServer>,
     handover: Option<Handover>,
     handsets: Option<Handsets>,
     recorder: Option<(Recorder, SkewedClock)>,
@@ -113,15 +113,15 @@
     pub(super) fn new(
         config: &Config,
         mut listener: TcpListener,
-        (door, handover): (Option<Door>, Option<Handover>),
+        (door, handover): (Option<OperatorServer>, Option<Handover>),
         registry: Registry,
-        source: Sender<Source>,
+        source: Sender<ListSource>,
         handsets: Option<Handsets>,
         inputs: VecDeque<Input>,
     ) -> std::io::Result<Self> {
         registry.register(&mut listener, LISTENER, Interest::READABLE)?;
         Ok(Self {
-            report: config.report.clone().into(),
+            report: config.report_field_names.clone().into(),
             connect_timeout: config.connect_timeout,
             source,
             registry,
@@ -130,7 +130,7 @@
             links: HashMap::new(),
             conns: HashMap::new(),
             closing: Vec::new(),
-            echoes: Echoes::default(),
+            closed_connections: ClosedConnections::default(),
             unsent: Vec::new(),
             ready: Vec::new(),
             sweep_at: SystemTime::now(),
@@ -156,10 +156,10 @@
     }
 
     /// Takes a message of another thread.
-    pub(super) fn admit(&mut self, message: Message) {
+    pub(super) fn admit(&mut self, message: LoopMessage) {
         match message {
-            Message::Input(input) => self.inputs.push_back(input),
-            Message::Datagram(from, bytes, received) => {
+            LoopMessage::Input(input) => self.inputs.push_back(input),
+            LoopMessage::Datagram(from, bytes, received) => {
                 self.on_handsets(|h, out| h.endpoint.receive(received, from, &bytes, out));
             }
         }
@@ -170,8 +170,8 @@
         let legs = self.handsets.as_ref().and_then(|h| h.endpoint.next_timeout());
         let ready = (!self.ready.is_empty()).then_some(SystemTime::UNIX_EPOCH);
         let none = self.links.is_empty() && self.conns.is_empty() && self.closing.is_empty();
-        let sweep = (!none || !self.echoes.is_empty()).then_some(self.sweep_at);
-        let door = self.door.as_ref().and_then(Door::next_wake);
+        let sweep = (!none || !self.closed_connections.is_empty()).then_some(self.sweep_at);
+        let door = self.door.as_ref().and_then(OperatorServer::next_wake);
         [legs, self.done, self.accept_at, ready, sweep, door].into_iter().flatten().min()
     }
 
@@ -249,7 +249,7 @@
 
     /// The poll has something to say.
     pub(super) fn on_event(&mut self, token: Token) {
-        if Door::owns(token) {
+        if OperatorServer::owns(token) {
             return self.on_door(|door, registry, orders| door.on_event(token, registry, orders));
         }
         if Handover::owns(token) {
@@ -264,7 +264,10 @@
     }
 
     /// Works on the operators' side and queues what it has for the reducer.
-    fn on_door(&mut self, work: impl FnOnce(&mut Door, &Registry, &mut Vec<(Ticket, OperatorRequest)>)) {
+    fn on_door(
+        &mut self,
+        work: impl FnOnce(&mut OperatorServer, &Registry, &mut Vec<(RequestId, OperatorRequest)>),
+    ) {
         let Some(door) = &mut self.door else { return };
         let mut orders = Vec::new();
         work(door, &self.registry, &mut orders);
@@ -296,7 +299,7 @@
         }
     }
 
-    fn answer_operator(&mut self, ticket: Ticket, reply: &OperatorReply) {
+    fn answer_operator(&mut self, ticket: RequestId, reply: &OperatorReply) {
         self.on_door(|door, _, _| door.answer(ticket, reply));
     }
 
@@ -336,18 +339,18 @@
         let inputs = &mut self.inputs;
         let received = connection.receive(|cut, received| {
             inputs.push_back(match &cut {
-                Cut::Whole(line) => match jsonl::read_caller(line, received) {
-                    Ok(FromCaller::SetUp(call, setup)) => Input::SetUp { caller_conn, call, setup },
-                    Ok(FromCaller::Stop(call, cause)) => Input::HangUp { caller_conn, call, cause },
-                    Ok(FromCaller::Check(call)) => Input::HealthCheck { caller_conn, call },
-                    Ok(FromCaller::Nothing) => return ControlFlow::Continue(()),
-                    Err(LineError::Call(call)) => Input::MalformedSetUp { caller_conn, call },
+                SplitLine::Complete(line) => match jsonl::parse_caller_line(line, received) {
+                    Ok(CallerLine::SetUp(call, setup)) => Input::SetUp { caller_conn, call, setup },
+                    Ok(CallerLine::Stop(call, cause)) => Input::HangUp { caller_conn, call, cause },
+                    Ok(CallerLine::Check(call)) => Input::HealthCheck { caller_conn, call },
+                    Ok(CallerLine::Ignored) => return ControlFlow::Continue(()),
+                    Err(LineError::Malformed(call)) => Input::MalformedSetUp { caller_conn, call },
                     Err(LineError::Unreadable) => return ControlFlow::Break(()),
                 },
                 // Its end may be far away, and nothing behind it is worth the wait.
-                Cut::TooLong(start) => {
+                SplitLine::TooLong(start) => {
                     inputs.extend(
-                        jsonl::named_call(start).map(|call| Input::MalformedSetUp { caller_conn, call }),
+                        jsonl::find_call_uid(start).map(|call| Input::MalformedSetUp { caller_conn, call }),
                     );
                     return ControlFlow::Break(());
                 }
@@ -367,7 +370,8 @@
                     self.inputs.push_back(Input::CallerMessagesUnread { caller_conn });
                     self.links.remove(&caller_conn);
                 } else if let Some(connection) = self.links.remove(&caller_conn) {
-                    let unheard = self.echoes.keep(SystemTime::now() + ECHO, caller_conn, connection);
+                    let unheard =
+                        self.closed_connections.keep(SystemTime::now() + ECHO, caller_conn, connection);
                     self.inputs
                         .extend(unheard.map(|caller_conn| Input::CallerMessagesUnread { caller_conn }));
                 }
@@ -398,21 +402,21 @@
         let (inputs, report) = (&mut self.inputs, &self.report);
         let received = connection.receive(|cut, _| {
             let read = match &cut {
-                Cut::Whole(line) => jsonl::read_exchange(line, report),
-                Cut::TooLong(_) => Err(LineError::Unreadable),
+                SplitLine::Complete(line) => jsonl::parse_exchange_line(line, report),
+                SplitLine::TooLong(_) => Err(LineError::Unreadable),
             };
             inputs.push_back(match read {
-                Ok(FromExchange::Answer(call, description)) => {
+                Ok(ExchangeLine::Answered(call, description)) => {
                     Input::Answered { exchange_conn, call, description }
                 }
-                Ok(FromExchange::Stop(call, outcome, reason)) => {
+                Ok(ExchangeLine::Stop(call, outcome, reason)) => {
                     Input::Ended { exchange_conn, call, outcome, reason }
                 }
-                Ok(FromExchange::Usage(report)) => Input::GroupState { exchange_conn, report },
-                Ok(FromExchange::Checked(passed, report)) => {
+                Ok(ExchangeLine::Usage(report)) => Input::GroupState { exchange_conn, report },
+                Ok(ExchangeLine::Checked(passed, report)) => {
                     Input::ProbeResult { exchange_conn, passed, report }
                 }
-                Ok(FromExchange::Nothing) => Input::ExchangeActivity { exchange_conn },
+                Ok(ExchangeLine::Ignored) => Input::ExchangeActivity { exchange_conn },
                 // After something that cannot be read nothing that follows on the same connection counts: the
                 // calls on it would wait for answers that never come.
                 Err(_) => return ControlFlow::Break(()),
@@ -462,7 +466,7 @@
             }
             keep
         });
-        let unheard = self.echoes.unread(now);
+        let unheard = self.closed_connections.unread(now);
         self.inputs
             .extend(unheard.into_iter().map(|caller_conn| Input::CallerMessagesUnread { caller_conn }));
     }
@@ -497,7 +501,7 @@
                 self.on_handsets(|h, out| h.endpoint.send_to_caller(SystemTime::now(), call, &message, out));
             }
             Effect::ToCaller { caller_conn, call, message } => {
-                self.say(Whose::Caller(caller_conn), &jsonl::write_caller(call, &message));
+                self.say(Whose::Caller(caller_conn), &jsonl::format_caller_message(call, &message));
             }
             Effect::ToExchange { exchange_conn, call, message } => {
                 self.say_to_exchange(exchange_conn, call, &message)
@@ -534,9 +538,9 @@
             },
             Effect::Reconfigure(config) => {
                 let config = *config;
-                self.report = config.report.into();
+                self.report = config.report_field_names.into();
                 self.connect_timeout = config.connect_timeout;
-                let moved = Source { resolver: config.names, zones: config.zones };
+                let moved = ListSource { resolver: config.resolver, zones: config.zones };
                 if self.source.try_send(moved).is_err() {
                     tracing::warn!("the resolver's new address came while too many others wait");
                 }
@@ -544,7 +548,7 @@
             Effect::Log(text) => tracing::info!("{text}"),
             Effect::Record(record) => {
                 if let Some((recorder, clock)) = &mut self.recorder {
-                    recorder.record(Record { at_us: clock.shows(record.at_us), ..record });
+                    recorder.record(Record { at_us: clock.skewed_us(record.at_us), ..record });
                 }
             }
             Effect::Exit => {
@@ -573,7 +577,7 @@
     fn say_to_exchange(&mut self, exchange_conn: ExchangeConnId, call: CallUid, word: &ExchangeMessage) {
         let attempt = matches!(word, ExchangeMessage::SetUp { .. });
         if let Some(connection) = self.conns.get_mut(&exchange_conn) {
-            let message = jsonl::write_exchange(call, word);
+            let message = jsonl::format_exchange_message(call, word);
             if attempt {
                 connection.count_next(message.len());
             }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -15,7 +15,7 @@
 use thiserror::Error;
 use tinyjson::JsonValue;
 
-use super::jsonl::{Cut, Lines};
+use super::jsonl::{LineSplitter, SplitLine};
 use crate::config::parse_json;
 use crate::engine::{CallUid, HandoverState, Input, ListEntry, SiblingMessage};
 use crate::interface::Readiness;
@@ -32,14 +32,14 @@
 /// What is wrong with what the other process says.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("not a word between two processes of a softswitch")]
-pub struct WordError;
+pub struct MessageError;
 
 /// The listening socket that this process inherited as the descriptor of this number. The number stays open beside
 /// it, and whether the socket blocks is the same for all who hold it.
 ///
 /// # Errors
 /// If there is no such descriptor, or it is no socket that listens.
-pub fn adopt(number: i32) -> io::Result<TcpListener> {
+pub fn listener_from_fd(number: i32) -> io::Result<TcpListener> {
     let this = pidfd_open(getpid(), PidfdFlags::empty())?;
     let listener = TcpListener::from(pidfd_getfd(&this, number, PidfdGetfdFlags::empty())?);
     listener.local_addr()?;
@@ -47,7 +47,7 @@
 }
 
 /// Where two processes meet that share this folder for temporary files and listen at this address.
-pub fn meeting_place(folder: &Path, listen: SocketAddr) -> PathBuf {
+pub fn socket_path(folder: &Path, listen: SocketAddr) -> PathBuf {
     folder.join(format!("swiftlb-{listen}"))
 }
 
@@ -60,7 +60,7 @@
 }
 
 /// A word as it is sent.
-pub fn write(word: &SiblingMessage) -> Vec<u8> {
+pub fn format_message(word: &SiblingMessage) -> Vec<u8> {
     let call = |call: &CallUid| ("call", call.as_str().to_owned().into());
     match word {
         SiblingMessage::HandoverRequest => object("hello", Vec::new()),
@@ -107,18 +107,18 @@
 ///
 /// # Errors
 /// If it is none.
-pub fn read(line: &[u8]) -> Result<SiblingMessage, WordError> {
-    let text = std::str::from_utf8(line).map_err(|_| WordError)?;
-    let json = parse_json(text).map_err(|_| WordError)?;
-    let object = json.get::<HashMap<String, JsonValue>>().ok_or(WordError)?;
-    let field = |key: &str| object.get(key).ok_or(WordError);
-    let text = |key: &str| field(key)?.get::<String>().cloned().ok_or(WordError);
+pub fn parse_message(line: &[u8]) -> Result<SiblingMessage, MessageError> {
+    let text = std::str::from_utf8(line).map_err(|_| MessageError)?;
+    let json = parse_json(text).map_err(|_| MessageError)?;
+    let object = json.get::<HashMap<String, JsonValue>>().ok_or(MessageError)?;
+    let field = |key: &str| object.get(key).ok_or(MessageError);
+    let text = |key: &str| field(key)?.get::<String>().cloned().ok_or(MessageError);
     let whole = |key: &str, most: f64| {
         let number = field(key)?.get::<f64>().copied();
-        number.filter(|n| n.fract() == 0.0 && (0.0..=most).contains(n)).ok_or(WordError)
+        number.filter(|n| n.fract() == 0.0 && (0.0..=most).contains(n)).ok_or(MessageError)
     };
-    let flag = |key: &str| field(key)?.get::<bool>().copied().ok_or(WordError);
-    let call = || CallUid::parse(&text("call")?).ok_or(WordError);
+    let flag = |key: &str| field(key)?.get::<bool>().copied().ok_or(MessageError);
+    let call = || CallUid::parse(&text("call")?).ok_or(MessageError);
     Ok(match text("say")?.as_str() {
         "hello" => SiblingMessage::HandoverRequest,
         "serving" => SiblingMessage::Serving,
@@ -127,36 +127,36 @@
         "ended" => SiblingMessage::Ended { call: call()?, cut: flag("cut")? },
         "release" => SiblingMessage::Release { call: call()?, cut: flag("cut")? },
         "belief" => {
-            let values = field("values")?.get::<Vec<JsonValue>>().ok_or(WordError)?;
+            let values = field("values")?.get::<Vec<JsonValue>>().ok_or(MessageError)?;
             let values: Option<Vec<f64>> = values.iter().map(|value| value.get::<f64>().copied()).collect();
             let exchange = if field("of")?.is_null() { None } else { Some(text("of")?.into()) };
-            SiblingMessage::Learned { topic: text("topic")?, exchange, values: values.ok_or(WordError)? }
+            SiblingMessage::Learned { topic: text("topic")?, exchange, values: values.ok_or(MessageError)? }
         }
         "exchange" => {
             let started_at = if field("born")?.is_null() {
                 None
             } else {
-                let nanos: u64 = text("born")?.parse().map_err(|_| WordError)?;
+                let nanos: u64 = text("born")?.parse().map_err(|_| MessageError)?;
                 Some(UNIX_EPOCH + Duration::from_nanos(nanos))
             };
             SiblingMessage::Exchange(ListEntry {
                 name: text("name")?.into(),
-                address: text("address")?.parse().map_err(|_| WordError)?,
+                address: text("address")?.parse().map_err(|_| MessageError)?,
                 number: whole("number", f64::from(u32::MAX))? as u32,
                 zone: whole("zone", f64::from(u16::MAX))? as u16,
                 started_at,
                 readiness: if flag("draining")? { Readiness::Draining } else { Readiness::Ready },
             })
         }
-        _ => return Err(WordError),
+        _ => return Err(MessageError),
     })
 }
 
 /// What another process has handed over, and the connection to it.
 #[derive(Debug)]
-pub struct Handed {
+pub struct PredecessorConn {
     stream: blocking::UnixStream,
-    lines: Lines,
+    lines: LineSplitter,
     /// Words that came behind.
     later: Vec<SiblingMessage>,
 }
@@ -165,14 +165,15 @@
 ///
 /// # Errors
 /// If none is there, or what it says is not whole: then this process starts as if there were none.
-pub fn inherit(place: &Path) -> io::Result<(Handed, HandoverState)> {
+pub fn request_handover(place: &Path) -> io::Result<(PredecessorConn, HandoverState)> {
     let mut stream = blocking::UnixStream::connect(place)?;
     let until = SystemTime::now() + PATIENCE;
     stream.set_write_timeout(Some(PATIENCE))?;
-    stream.write_all(&write(&SiblingMessage::HandoverRequest))?;
-    let (mut inheritance, mut lines, mut later) = (HandoverState::default(), Lines::default(), Vec::new());
+    stream.write_all(&format_message(&SiblingMessage::HandoverRequest))?;
+    let (mut inheritance, mut lines, mut later) =
+        (HandoverState::default(), LineSplitter::default(), Vec::new());
     let (mut whole, mut taken, mut buffer) = (false, 0, vec![0; 16 * 1024]);
-    let spoilt = || io::Error::new(ErrorKind::InvalidData, WordError);
+    let spoilt = || io::Error::new(ErrorKind::InvalidData, MessageError);
     while !whole {
         let left = until.duration_since(SystemTime::now()).map_err(|_| ErrorKind::TimedOut)?;
         stream.set_read_timeout(Some(left.max(Duration::from_millis(1))))?;
@@ -182,8 +183,8 @@
             return Err(spoilt());
         }
         let read = lines.push(&buffer[..length], |cut| {
-            let Cut::Whole(line) = cut else { return ControlFlow::Break(()) };
-            match read(&line) {
+            let SplitLine::Complete(line) = cut else { return ControlFlow::Break(()) };
+            match parse_message(&line) {
                 Ok(word) if whole => later.push(word),
                 Ok(SiblingMessage::Exchange(entry)) => inheritance.list.push(entry),
                 Ok(SiblingMessage::Learned { topic, exchange, values }) => {
@@ -193,7 +194,7 @@
                     (inheritance.serial, whole) = (serial, true)
                 }
                 Ok(word) => later.push(word),
-                Err(WordError) => return ControlFlow::Break(()),
+                Err(MessageError) => return ControlFlow::Break(()),
             }
             ControlFlow::Continue(())
         });
@@ -204,13 +205,13 @@
     if inheritance.list.is_empty() {
         return Err(spoilt());
     }
-    Ok((Handed { stream, lines, later }, inheritance))
+    Ok((PredecessorConn { stream, lines, later }, inheritance))
 }
 
 struct Other {
     stream: UnixStream,
     token: Token,
-    lines: Lines,
+    lines: LineSplitter,
     unsent: Vec<u8>,
     /// It has said something.
     heard: bool,
@@ -228,13 +229,13 @@
     /// Goes on with the process that has handed over, or waits for one that takes this one's place.
     pub(super) fn new(
         place: PathBuf,
-        handed: Option<Handed>,
+        handed: Option<PredecessorConn>,
         registry: &Registry,
         inputs: &mut impl Extend<Input>,
     ) -> Self {
         let mut this = Self { place, listener: None, other: None, last: 0 };
         match handed {
-            Some(Handed { stream, lines, later }) => {
+            Some(PredecessorConn { stream, lines, later }) => {
                 inputs.extend(later.into_iter().map(Input::SiblingMessage));
                 let other = stream.set_nonblocking(true).map(|()| UnixStream::from_std(stream));
                 if !other.is_ok_and(|stream| this.take(stream, lines, registry)) {
@@ -265,7 +266,7 @@
         }
     }
 
-    fn take(&mut self, mut stream: UnixStream, lines: Lines, registry: &Registry) -> bool {
+    fn take(&mut self, mut stream: UnixStream, lines: LineSplitter, registry: &Registry) -> bool {
         self.last += 1;
         let token = Token(BASE + self.last);
         let watched = registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE).is_ok();
@@ -281,7 +282,7 @@
             while let Some(Ok((stream, _))) = self.listener.as_ref().map(UnixListener::accept) {
                 // One at a time; who has said nothing yet has no place to lose.
                 if self.other.as_ref().is_none_or(|other| !other.heard) {
-                    self.take(stream, Lines::default(), registry);
+                    self.take(stream, LineSplitter::default(), registry);
                 }
             }
         }
@@ -295,8 +296,8 @@
                 Ok(0) => break true,
                 Ok(length) => {
                     let read = other.lines.push(&buffer[..length], |cut| {
-                        let Cut::Whole(line) = cut else { return ControlFlow::Break(()) };
-                        let Ok(word) = read(&line) else { return ControlFlow::Break(()) };
+                        let SplitLine::Complete(line) = cut else { return ControlFlow::Break(()) };
+                        let Ok(word) = parse_message(&line) else { return ControlFlow::Break(()) };
                         other.heard = true;
                         inputs.extend([Input::SiblingMessage(word)]);
                         ControlFlow::Continue(())
@@ -333,7 +334,7 @@
         inputs: &mut impl Extend<Input>,
     ) {
         let Some(other) = &mut self.other else { return };
-        other.unsent.extend(write(word));
+        other.unsent.extend(format_message(word));
         if other.unsent.len() > MOST {
             return self.lose(registry, inputs);
         }
--- a/src/net/jsonl.rs
+++ b/src/net/jsonl.rs
@@ -14,7 +14,7 @@
 use crate::interface::{LoadReport, Outcome, Reason};
 
 /// No message holds more bytes than this.
-pub const LONGEST: usize = 16 * 1024;
+pub const MAX_LINE_BYTES: usize = 16 * 1024;
 
 /// Longest wait at a processor that an exchange can mean: a spoilt figure must not shut it out for good.
 const LONGEST_WAIT_MS: f64 = 60_000.0;
@@ -27,7 +27,7 @@
 pub enum LineError {
     /// It is wrong, but the call is named that it is about.
     #[error("malformed, of call {0:?}")]
-    Call(CallUid),
+    Malformed(CallUid),
     /// It cannot be read.
     #[error("malformed")]
     Unreadable,
@@ -35,7 +35,7 @@
 
 /// A line from a caller.
 #[derive(Clone, Debug, PartialEq)]
-pub enum FromCaller {
+pub enum CallerLine {
     /// A set-up.
     SetUp(CallUid, SetUp),
     /// A set-up given up, or a release.
@@ -43,14 +43,14 @@
     /// A test.
     Check(CallUid),
     /// Something free that means nothing here.
-    Nothing,
+    Ignored,
 }
 
 /// A line from an exchange.
 #[derive(Clone, Debug, PartialEq)]
-pub enum FromExchange {
+pub enum ExchangeLine {
     /// The call stands.
-    Answer(CallUid, Option<Arc<str>>),
+    Answered(CallUid, Option<Arc<str>>),
     /// A release, before or after the answer.
     Stop(CallUid, Outcome, Reason),
     /// State of the group.
@@ -58,7 +58,7 @@
     /// Answer to a test.
     Checked(bool, Option<LoadReport>),
     /// Something free that means nothing here.
-    Nothing,
+    Ignored,
 }
 
 type Object = HashMap<String, JsonValue>;
@@ -85,17 +85,17 @@
 impl Line {
     fn read(line: &[u8]) -> Result<Self, LineError> {
         // What cannot be read as a whole may still name its call.
-        let lost = || named_call(line).map_or(LineError::Unreadable, LineError::Call);
+        let lost = || find_call_uid(line).map_or(LineError::Unreadable, LineError::Malformed);
         let text = std::str::from_utf8(line).map_err(|_| lost())?;
         let Ok(JsonValue::Object(fields)) = parse_json(text) else { return Err(lost()) };
         let uid = fields.get("uid").and_then(|v| v.get::<String>());
         let call = uid.and_then(|uid| CallUid::parse(uid)).ok_or(LineError::Unreadable)?;
         let kind = fields.get("kind").and_then(|v| v.get::<String>()).cloned();
-        Ok(Self { kind: kind.ok_or(LineError::Call(call))?, call, fields })
+        Ok(Self { kind: kind.ok_or(LineError::Malformed(call))?, call, fields })
     }
 
     fn meta(&self) -> Result<&Object, LineError> {
-        self.fields.get("meta").and_then(|v| v.get::<Object>()).ok_or(LineError::Call(self.call))
+        self.fields.get("meta").and_then(|v| v.get::<Object>()).ok_or(LineError::Malformed(self.call))
     }
 
     fn cause(&self) -> Option<u8> {
@@ -107,14 +107,14 @@
         match self.fields.get("body") {
             None => Ok(None),
             Some(JsonValue::String(body)) => Ok(Some(body.as_str().into())),
-            Some(_) => Err(LineError::Call(self.call)),
+            Some(_) => Err(LineError::Malformed(self.call)),
         }
     }
 }
 
 /// The call that a line names which cannot be read: malformed, or cut at the longest length.
-pub fn named_call(line: &[u8]) -> Option<CallUid> {
-    let line = &line[..line.len().min(LONGEST)];
+pub fn find_call_uid(line: &[u8]) -> Option<CallUid> {
+    let line = &line[..line.len().min(MAX_LINE_BYTES)];
     let at = line.windows(5).position(|w| w == b"\"uid\"")?;
     let mut rest = line[at + 5..].trim_ascii_start().strip_prefix(b":")?.trim_ascii_start();
     rest = rest.strip_prefix(b"\"")?;
@@ -125,18 +125,18 @@
 ///
 /// # Errors
 /// If it is malformed; the error names the call if the line does.
-pub fn read_caller(line: &[u8], received: SystemTime) -> Result<FromCaller, LineError> {
+pub fn parse_caller_line(line: &[u8], received: SystemTime) -> Result<CallerLine, LineError> {
     let line = Line::read(line)?;
     Ok(match line.kind.as_str() {
-        "launch" => FromCaller::SetUp(line.call, read_setup(&line, received)?),
-        "stop" => FromCaller::Stop(line.call, line.cause().unwrap_or(NORMAL)),
-        "check" => FromCaller::Check(line.call),
-        _ => FromCaller::Nothing,
+        "launch" => CallerLine::SetUp(line.call, read_setup(&line, received)?),
+        "stop" => CallerLine::Stop(line.call, line.cause().unwrap_or(NORMAL)),
+        "check" => CallerLine::Check(line.call),
+        _ => CallerLine::Ignored,
     })
 }
 
 fn read_setup(line: &Line, received: SystemTime) -> Result<SetUp, LineError> {
-    let wrong = || LineError::Call(line.call);
+    let wrong = || LineError::Malformed(line.call);
     let meta = line.meta()?;
     let extras = text(meta, "extras").ok_or_else(wrong)?;
     // A figure that is there must be one that a caller can mean: what is made up for a wrong one would go to
@@ -180,19 +180,19 @@
 /// # Errors
 /// If it is malformed, or nothing that an exchange says: an answer without a description, a release without
 /// a cause, an unknown type.
-pub fn read_exchange(line: &[u8], report: &[String]) -> Result<FromExchange, LineError> {
+pub fn parse_exchange_line(line: &[u8], report: &[String]) -> Result<ExchangeLine, LineError> {
     let line = Line::read(line)?;
-    let wrong = || LineError::Call(line.call);
+    let wrong = || LineError::Malformed(line.call);
     Ok(match line.kind.as_str() {
-        "running" => FromExchange::Answer(line.call, Some(line.body()?.ok_or_else(wrong)?)),
+        "running" => ExchangeLine::Answered(line.call, Some(line.body()?.ok_or_else(wrong)?)),
         "stop" => {
             line.cause().ok_or_else(wrong)?;
             let (outcome, reason) = read_end(&line);
-            FromExchange::Stop(line.call, outcome, reason)
+            ExchangeLine::Stop(line.call, outcome, reason)
         }
-        "usage" => read_report(&line, report).map_or(FromExchange::Nothing, FromExchange::Usage),
-        "checked" => FromExchange::Checked(line.cause() == Some(1), read_report(&line, report)),
-        "staging" | "stopped" => FromExchange::Nothing,
+        "usage" => read_report(&line, report).map_or(ExchangeLine::Ignored, ExchangeLine::Usage),
+        "checked" => ExchangeLine::Checked(line.cause() == Some(1), read_report(&line, report)),
+        "staging" | "stopped" => ExchangeLine::Ignored,
         _ => return Err(wrong()),
     })
 }
@@ -252,7 +252,7 @@
 }
 
 /// A line to a caller.
-pub fn write_caller(call: CallUid, word: &CallerMessage) -> Vec<u8> {
+pub fn format_caller_message(call: CallUid, word: &CallerMessage) -> Vec<u8> {
     match word {
         CallerMessage::Answered { description } => line("running", call, "", None, description.as_deref()),
         CallerMessage::Refused { retry_after } if retry_after.is_zero() => {
@@ -272,7 +272,7 @@
 }
 
 /// A set-up as a caller of the platform writes it, without its line feed.
-pub fn write_setup(call: CallUid, class: &str, left: Duration, key: &str, dest: u32) -> String {
+pub fn format_set_up(call: CallUid, class: &str, left: Duration, key: &str, dest: u32) -> String {
     let meta = format!(
         r#""class":{},"left":"{}","key":{},"extras":"dest:{dest};width:1;via:-1""#,
         quoted(class),
@@ -285,7 +285,7 @@
 }
 
 /// A line to an exchange.
-pub fn write_exchange(call: CallUid, word: &ExchangeMessage) -> Vec<u8> {
+pub fn format_exchange_message(call: CallUid, word: &ExchangeMessage) -> Vec<u8> {
     match word {
         ExchangeMessage::SetUp { class, called_number, remaining, description } => {
             let mut meta = format!(r#""class":{}"#, quoted(class));
@@ -303,7 +303,7 @@
 
 /// Cuts a stream of bytes into lines, and holds no more than the longest one.
 #[derive(Debug, Default)]
-pub struct Lines {
+pub struct LineSplitter {
     buffer: Vec<u8>,
     /// The rest of an oversized line is passed over.
     skipping: bool,
@@ -311,19 +311,19 @@
 
 /// A line, or the start of one that is too long.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Cut {
+pub enum SplitLine {
     /// A whole line, without its line feed.
-    Whole(Vec<u8>),
+    Complete(Vec<u8>),
     /// The first bytes of one that is too long.
     TooLong(Vec<u8>),
 }
 
-impl Lines {
+impl LineSplitter {
     /// Takes what has come and hands on each line that it completes, until one breaks it off.
     pub fn push(
         &mut self,
         mut bytes: &[u8],
-        mut each: impl FnMut(Cut) -> ControlFlow<()>,
+        mut each: impl FnMut(SplitLine) -> ControlFlow<()>,
     ) -> ControlFlow<()> {
         while !bytes.is_empty() {
             let end = bytes.iter().position(|b| *b == b'\n');
@@ -334,15 +334,15 @@
             bytes = rest;
             if !self.skipping {
                 self.buffer.extend_from_slice(part);
-                if self.buffer.len() >= LONGEST {
+                if self.buffer.len() >= MAX_LINE_BYTES {
                     self.skipping = true;
-                    each(Cut::TooLong(std::mem::take(&mut self.buffer)))?;
+                    each(SplitLine::TooLong(std::mem::take(&mut self.buffer)))?;
                 }
             }
             if end.is_some() {
                 let whole = std::mem::take(&mut self.buffer);
                 if !std::mem::take(&mut self.skipping) && !whole.trim_ascii().is_empty() {
-                    each(Cut::Whole(whole))?;
+                    each(SplitLine::Complete(whole))?;
                 }
             }
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -18,21 +18,21 @@
 
 use crate::config::Config;
 use crate::decide::SettingsError;
-use crate::edge::Edge;
+use crate::edge::EdgeSettings;
 use crate::engine::{Engine, Front, HandoverState, Input};
 use crate::iax2::{Endpoint, Iax2Config};
-use connection::small_thread;
-use dns::Source;
-use door::Door;
+use connection::spawn_small_thread;
+use dns::ListSource;
 use driver::{Driver, HANDSETS, Handsets};
-use handover::{Handed, Handover};
+use handover::{Handover, PredecessorConn};
+use operator::OperatorServer;
 
 pub mod connection;
 pub mod dns;
-mod door;
 mod driver;
 pub mod handover;
 pub mod jsonl;
+mod operator;
 
 /// Messages of other threads that may wait for the loop; their senders wait beyond that.
 const WAITING: usize = 512;
@@ -70,7 +70,7 @@
 
 /// What other threads tell the loop.
 #[derive(Debug)]
-pub enum Message {
+pub enum LoopMessage {
     /// An input for the reducer.
     Input(Input),
     /// A datagram has come on the IAX2 socket, at this time.
@@ -79,17 +79,17 @@
 
 /// The way into the loop for other threads.
 #[derive(Clone, Debug)]
-pub struct Inbox {
-    sender: Sender<Message>,
+pub struct LoopSender {
+    sender: Sender<LoopMessage>,
     waker: Arc<Waker>,
 }
 
-impl Inbox {
+impl LoopSender {
     /// Hands a message to the loop; waits while too many others do.
     ///
     /// # Errors
     /// If the loop has ended.
-    pub fn send(&self, message: Message) -> Result<(), Box<SendError<Message>>> {
+    pub fn send(&self, message: LoopMessage) -> Result<(), Box<SendError<LoopMessage>>> {
         self.sender.send(message)?;
         // Fails only once the loop and its poll are gone.
         let _ = self.waker.wake();
@@ -106,17 +106,17 @@
     /// The front for IAX2, and its socket; none where another process still has the address.
     handsets: Option<(Iax2Config, Option<UdpSocket>)>,
     poll: Poll,
-    messages: Receiver<Message>,
-    inbox: Inbox,
+    messages: Receiver<LoopMessage>,
+    loop_sender: LoopSender,
     succession: Option<Succession>,
-    edge: Edge,
+    edge: EdgeSettings,
 }
 
 /// How it came to its listening socket, where another process may take its place or it takes another's.
 #[derive(Debug)]
 struct Succession {
     place: PathBuf,
-    handed: Option<(Handed, HandoverState)>,
+    handed: Option<(PredecessorConn, HandoverState)>,
 }
 
 impl Server {
@@ -134,14 +134,14 @@
     ///
     /// # Errors
     /// If another address cannot be had.
-    pub fn inherit(
+    pub fn from_inherited(
         listener: TcpListener,
         folder: &Path,
         config: Config,
         iax2: Option<Iax2Config>,
     ) -> Result<Self, ServeError> {
-        let place = handover::meeting_place(folder, listener.local_addr().map_err(system("listen"))?);
-        let handed = match handover::inherit(&place) {
+        let place = handover::socket_path(folder, listener.local_addr().map_err(system("listen"))?);
+        let handed = match handover::request_handover(&place) {
             Ok(handed) => Some(handed),
             Err(error) if matches!(error.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => None,
             Err(error) => {
@@ -164,7 +164,8 @@
         iax2: Option<Iax2Config>,
     ) -> Result<Self, ServeError> {
         listener.set_nonblocking(true).map_err(system("listen"))?;
-        let door = config.operator.map(Door::bind).transpose().map_err(system("listen for operators"))?;
+        let door =
+            config.operator.map(OperatorServer::bind).transpose().map_err(system("listen for operators"))?;
         let handsets = match iax2 {
             Some(iax2) => {
                 let socket = match UdpSocket::bind(iax2.listen) {
@@ -185,15 +186,15 @@
             handsets,
             poll,
             messages,
-            inbox: Inbox { sender, waker },
+            loop_sender: LoopSender { sender, waker },
             succession: None,
-            edge: Edge::default(),
+            edge: EdgeSettings::default(),
         })
     }
 
     /// Serves with what is switched on beyond the platform's configuration.
     #[must_use]
-    pub fn with_edge(self, edge: Edge) -> Self {
+    pub fn with_edge(self, edge: EdgeSettings) -> Self {
         Self { edge, ..self }
     }
 
@@ -211,13 +212,13 @@
     }
 
     /// Where IAX2 callers reach it; `None` where that front is off.
-    pub fn handset_address(&self) -> Option<SocketAddr> {
+    pub fn iax2_address(&self) -> Option<SocketAddr> {
         self.handsets.as_ref().and_then(|(_, socket)| socket.as_ref()?.local_addr().ok())
     }
 
     /// A way to hand inputs in from outside, such as the order to stop.
-    pub fn inbox(&self) -> Inbox {
-        self.inbox.clone()
+    pub fn loop_sender(&self) -> LoopSender {
+        self.loop_sender.clone()
     }
 
     /// Serves until it was told to stop and has answered all that it had taken.
@@ -225,7 +226,8 @@
     /// # Errors
     /// If something that it cannot do without is not to be had.
     pub fn run(self) -> Result<(), ServeError> {
-        let Self { mut config, listener, door, handsets, mut poll, messages, inbox, succession, edge } = self;
+        let Self { mut config, listener, door, handsets, mut poll, messages, loop_sender, succession, edge } =
+            self;
         if let Ok(address) = listener.local_addr() {
             tracing::info!(name = config.name, %address, "serves");
         }
@@ -236,13 +238,15 @@
         let (handed, inheritance) = handed.unzip();
         if let Some(inheritance) = &inheritance {
             tracing::info!(exchanges = inheritance.list.len(), "takes the place of another process");
-            config.serial = inheritance.serial;
+            config.list_serial = inheritance.serial;
         }
-        let source = follow_resolver(&config, &inbox)?;
+        let source = follow_resolver(&config, &loop_sender)?;
         let mut inputs = VecDeque::new();
         // Another process still has the address of IAX2: it is tried for until that one is gone.
         let (handsets, mut awaited) = match handsets {
-            Some((iax2, Some(socket))) => (Some(open_handsets(iax2, socket, config.seed, &inbox)?), None),
+            Some((iax2, Some(socket))) => {
+                (Some(open_handsets(iax2, socket, config.seed, &loop_sender)?), None)
+            }
             Some((iax2, None)) => (None, Some((iax2, SystemTime::now()))),
             None => (None, None),
         };
@@ -264,13 +268,13 @@
         let handover = place.map(|place| Handover::new(place, handed, &registry, &mut inputs));
         let listener = mio::net::TcpListener::from_std(listener);
         let door = door
-            .map(|door| Door::open(door, &registry, edge.fleet))
+            .map(|door| OperatorServer::open(door, &registry, edge.fleet_endpoint))
             .transpose()
             .map_err(system("listen for operators"))?;
         let mut driver = Driver::new(&config, listener, (door, handover), registry, source, handsets, inputs)
             .map_err(system("listen"))?;
         if let Some(recorder) = recorder {
-            driver.record(recorder, edge.rehearsal.from(now));
+            driver.record(recorder, edge.clock_skew.start_clock(now));
         }
         let mut events = Events::with_capacity(EVENTS);
         for effect in effects.drain(..) {
@@ -294,7 +298,9 @@
             }
             if let Some((iax2, at)) = awaited.take_if(|(_, at)| *at <= SystemTime::now()) {
                 match UdpSocket::bind(iax2.listen) {
-                    Ok(socket) => driver.begin_handsets(open_handsets(iax2, socket, config.seed, &inbox)?),
+                    Ok(socket) => {
+                        driver.begin_handsets(open_handsets(iax2, socket, config.seed, &loop_sender)?)
+                    }
                     Err(_) => awaited = Some((iax2, at + BIND_AGAIN)),
                 }
             }
@@ -309,11 +315,11 @@
             }
             // Operators first: they are owed an answer whatever callers do.
             // The reducer runs after each connection, so that none can pile up inputs before the others.
-            for event in events.iter().filter(|event| Door::owns(event.token())) {
+            for event in events.iter().filter(|event| OperatorServer::owns(event.token())) {
                 driver.on_event(event.token());
                 turn(&mut driver);
             }
-            for event in events.iter().filter(|event| !Door::owns(event.token())) {
+            for event in events.iter().filter(|event| !OperatorServer::owns(event.token())) {
                 driver.on_event(event.token());
                 turn(&mut driver);
             }
@@ -331,7 +337,11 @@
 }
 
 /// Begins to keep records, where that is switched on. What ends them later is a line of the log and no more.
-fn start_recorder(config: &Config, edge: &Edge, now: SystemTime) -> Result<Option<Recorder>, ServeError> {
+fn start_recorder(
+    config: &Config,
+    edge: &EdgeSettings,
+    now: SystemTime,
+) -> Result<Option<Recorder>, ServeError> {
     let Some(settings) = edge.records.clone() else { return Ok(None) };
     let run_started_us = now.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
     let head = FileHeader {
@@ -350,29 +360,30 @@
     iax2: Iax2Config,
     socket: UdpSocket,
     seed: u64,
-    inbox: &Inbox,
+    loop_sender: &LoopSender,
 ) -> Result<Handsets, ServeError> {
     if let Ok(address) = socket.local_addr() {
         tracing::info!(%address, "IAX2");
     }
     let socket = Arc::new(socket);
-    let (reader, to_loop) = (socket.clone(), inbox.clone());
-    small_thread("iax2", move || read_datagrams(&reader, &to_loop)).map_err(system("IAX2 thread"))?;
+    let (reader, loop_sender) = (socket.clone(), loop_sender.clone());
+    spawn_small_thread("iax2", move || read_datagrams(&reader, &loop_sender))
+        .map_err(system("IAX2 thread"))?;
     let endpoint = Endpoint::new(iax2.clone(), HANDSETS, seed);
     Ok(Handsets { iax2, endpoint, socket })
 }
 
 /// Starts the thread that follows the list of exchanges, and says how to tell it that the resolver has moved.
-fn follow_resolver(config: &Config, inbox: &Inbox) -> Result<Sender<Source>, ServeError> {
-    let source = Source { resolver: config.names, zones: config.zones.clone() };
-    let (serial, seed, to_loop) = (config.serial, config.seed, inbox.clone());
+fn follow_resolver(config: &Config, loop_sender: &LoopSender) -> Result<Sender<ListSource>, ServeError> {
+    let source = ListSource { resolver: config.resolver, zones: config.zones.clone() };
+    let (serial, seed, loop_sender) = (config.list_serial, config.seed, loop_sender.clone());
     let (mover, moves) = bounded(MOVES);
     let follow = move || {
-        let tell = |input| to_loop.send(Message::Input(input)).is_ok();
+        let tell = |input| loop_sender.send(LoopMessage::Input(input)).is_ok();
         let news = |serial, list: Option<_>| {
             list.is_none_or(|list| tell(Input::List(list))) && tell(Input::ListConfirmed { serial })
         };
-        if let Err(error) = dns::follow(source, serial, seed, &moves, news) {
+        if let Err(error) = dns::follow_list(source, serial, seed, &moves, news) {
             tracing::error!(%error, "the resolver cannot be followed");
         }
     };
@@ -382,7 +393,7 @@
     Ok(mover)
 }
 
-fn read_datagrams(socket: &UdpSocket, to_loop: &Inbox) {
+fn read_datagrams(socket: &UdpSocket, loop_sender: &LoopSender) {
     let mut buffer = vec![0; 64 * 1024];
     loop {
         // An error is the echo of a datagram that a dead peer refused; the leg's own time-out sees to it.
@@ -390,8 +401,8 @@
             std::thread::sleep(Duration::from_millis(5));
             continue;
         };
-        let message = Message::Datagram(from, buffer[..length].to_vec(), SystemTime::now());
-        if to_loop.send(message).is_err() {
+        let message = LoopMessage::Datagram(from, buffer[..length].to_vec(), SystemTime::now());
+        if loop_sender.send(message).is_err() {
             return;
         }
     }
--- a/src/net/door.rs
+++ b/src/net/operator.rs
@@ -23,7 +23,7 @@
 const READS: usize = 16;
 
 /// A call that waits for its answer.
-pub type Ticket = usize;
+pub type RequestId = usize;
 
 struct Visitor {
     stream: TcpStream,
@@ -36,15 +36,15 @@
 }
 
 /// The listener for operators and who is there.
-pub(super) struct Door {
+pub(super) struct OperatorServer {
     listener: TcpListener,
-    visitors: BTreeMap<Ticket, Visitor>,
-    last: Ticket,
+    visitors: BTreeMap<RequestId, Visitor>,
+    last: RequestId,
     /// What lies under `/edge/` is there too.
     edge: bool,
 }
 
-impl Door {
+impl OperatorServer {
     pub(super) fn open(listener: std::net::TcpListener, registry: &Registry, edge: bool) -> io::Result<Self> {
         let mut listener = TcpListener::from_std(listener);
         registry.register(&mut listener, LISTENER, Interest::READABLE)?;
@@ -68,7 +68,7 @@
         &mut self,
         token: Token,
         registry: &Registry,
-        orders: &mut Vec<(Ticket, OperatorRequest)>,
+        orders: &mut Vec<(RequestId, OperatorRequest)>,
     ) {
         if token == LISTENER {
             self.accept(registry, orders);
@@ -77,7 +77,7 @@
         }
     }
 
-    fn accept(&mut self, registry: &Registry, orders: &mut Vec<(Ticket, OperatorRequest)>) {
+    fn accept(&mut self, registry: &Registry, orders: &mut Vec<(RequestId, OperatorRequest)>) {
         loop {
             match self.listener.accept() {
                 Ok((mut stream, _)) => {
@@ -105,13 +105,13 @@
 
     /// Ends one connection: one that is answered, else the oldest that has asked nothing yet.
     fn make_room(&mut self) {
-        let key = |(ticket, v): (&Ticket, &Visitor)| (!v.answered, v.heard, *ticket);
+        let key = |(ticket, v): (&RequestId, &Visitor)| (!v.answered, v.heard, *ticket);
         if let Some((.., ticket)) = self.visitors.iter().map(key).min() {
             self.visitors.remove(&ticket);
         }
     }
 
-    fn serve(&mut self, ticket: Ticket, orders: &mut Vec<(Ticket, OperatorRequest)>) {
+    fn serve(&mut self, ticket: RequestId, orders: &mut Vec<(RequestId, OperatorRequest)>) {
         let Some(visitor) = self.visitors.get_mut(&ticket) else { return };
         let mut buffer = [0; 1024];
         let mut ended = false;
@@ -152,14 +152,14 @@
     }
 
     /// Answers a call.
-    pub(super) fn answer(&mut self, ticket: Ticket, reply: &OperatorReply) {
+    pub(super) fn answer(&mut self, ticket: RequestId, reply: &OperatorReply) {
         if let Some(visitor) = self.visitors.get_mut(&ticket) {
             visitor.unsent = ops::format_reply(reply);
             self.write(ticket);
         }
     }
 
-    fn write(&mut self, ticket: Ticket) {
+    fn write(&mut self, ticket: RequestId) {
         let Some(visitor) = self.visitors.get_mut(&ticket) else { return };
         while !visitor.unsent.is_empty() {
             match visitor.stream.write(&visitor.unsent) {
--- a/src/ops/figures.rs
+++ b/src/ops/metrics.rs
@@ -13,7 +13,7 @@
 
 /// Everything that is counted. The reducer owns it.
 #[derive(Clone, Debug, Default)]
-pub struct Figures {
+pub struct Metrics {
     classes: Vec<Ended>,
     attempts: u64,
     /// Refusals by reason, in the order in which reasons first came.
@@ -22,7 +22,7 @@
 
 /// What holds at this moment.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Now {
+pub struct Gauges {
     /// Calls taken that have not ended: they wait for an answer or stand.
     pub pending: usize,
     /// Listed exchanges.
@@ -31,9 +31,9 @@
     pub unavailable: usize,
 }
 
-impl Figures {
+impl Metrics {
     /// Classes of which figures are written from 0 on; one that was there keeps its own.
-    pub fn know(&mut self, classes: impl Iterator<Item = String>) {
+    pub fn add_classes(&mut self, classes: impl Iterator<Item = String>) {
         for class in classes {
             self.of(&class);
         }
@@ -49,22 +49,22 @@
     }
 
     /// A call of this class was served: it stands.
-    pub fn completed(&mut self, class: &str) {
+    pub fn count_completed(&mut self, class: &str) {
         self.of(class).completed += 1;
     }
 
     /// A call of this class was refused.
-    pub fn rejected(&mut self, class: &str) {
+    pub fn count_rejected(&mut self, class: &str) {
         self.of(class).rejected += 1;
     }
 
     /// A call of this class failed.
-    pub fn failed(&mut self, class: &str) {
+    pub fn count_failed(&mut self, class: &str) {
         self.of(class).failed += 1;
     }
 
     /// A call was refused for this reason.
-    pub fn refused_for(&mut self, reason: &'static str) {
+    pub fn count_refusal(&mut self, reason: &'static str) {
         match self.refusals.iter_mut().find(|(known, _)| *known == reason) {
             Some((_, count)) => *count += 1,
             None => self.refusals.push((reason, 1)),
@@ -79,18 +79,18 @@
     }
 
     /// Calls of all classes that were answered, refused and failed since the start.
-    pub fn ended(&self) -> (u64, u64, u64) {
+    pub fn totals(&self) -> (u64, u64, u64) {
         let sum = |of: fn(&Ended) -> u64| self.classes.iter().map(of).sum();
         (sum(|c| c.completed), sum(|c| c.rejected), sum(|c| c.failed))
     }
 
     /// So many more set-ups were written whole to exchanges.
-    pub fn attempted(&mut self, more: u64) {
+    pub fn count_attempts(&mut self, more: u64) {
         self.attempts += more;
     }
 
     /// The text of all figures.
-    pub fn text(&self, now: Now) -> String {
+    pub fn prometheus_text(&self, now: Gauges) -> String {
         let mut text = String::new();
         let mut head = |name: &str, kind: &str, help: &str, samples: &[(String, u64)]| {
             let _ = writeln!(text, "# HELP svc_{name} {help}\n# TYPE svc_{name} {kind}");
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -3,11 +3,11 @@
 use httparse::{EMPTY_HEADER, Request, Status};
 use thiserror::Error;
 
-mod figures;
 mod fleet;
+mod metrics;
 
-pub use figures::{Figures, Now};
-pub use fleet::{Fleet, Seen};
+pub use fleet::{ExchangeState, Fleet};
+pub use metrics::{Gauges, Metrics};
 
 /// Longest head of a request, in bytes.
 pub const MAX_HEAD_BYTES: usize = 4 * 1024;
--- a/tests/common/peers.rs
+++ b/tests/common/endpoints.rs
@@ -10,7 +10,7 @@
 use swiftlb::iax2::Iax2Config;
 use swiftlb::iax2::element::InformationElements;
 use swiftlb::iax2::frame::{Frame, FrameType, FullFrame, MiniFrame, decode as decode_frame, iax};
-use swiftlb::net::{Inbox, Message, Server};
+use swiftlb::net::{LoopMessage, LoopSender, Server};
 use tinyjson::JsonValue;
 
 use crate::engine_harness::config_json;
@@ -19,16 +19,16 @@
 const PATIENCE: Duration = Duration::from_secs(8);
 
 /// A running softswitch; it ends with the test.
-pub struct Switch {
+pub struct Softswitch {
     pub address: SocketAddr,
-    pub handsets: Option<SocketAddr>,
-    pub door: SocketAddr,
-    pub to_loop: Inbox,
+    pub iax2_address: Option<SocketAddr>,
+    pub operator_address: SocketAddr,
+    pub loop_sender: LoopSender,
     pub thread: Option<std::thread::JoinHandle<bool>>,
     _resolver: UdpSocket,
 }
 
-impl Switch {
+impl Softswitch {
     /// One whose exchanges 1, 2 ... are at these addresses; those in `nodes` speak IAX2.
     pub fn start(exchanges: &[SocketAddr], nodes: &[u32]) -> Self {
         let resolver = UdpSocket::bind("127.0.0.1:0").expect("a port");
@@ -44,52 +44,52 @@
         );
         let iax2 = Iax2Config::parse(&iax2).expect("an IAX2 configuration");
         let server = Server::bind(config, iax2).expect("ports on loopback");
-        let (address, handsets) = (server.address().expect("an address"), server.handset_address());
-        let door = server.operator_address().expect("a door");
-        let to_loop = server.inbox();
+        let (address, iax2_address) = (server.address().expect("an address"), server.iax2_address());
+        let operator_address = server.operator_address().expect("a door");
+        let loop_sender = server.loop_sender();
         let thread = Some(std::thread::spawn(move || server.run().is_ok()));
-        Self { address, handsets, door, to_loop, thread, _resolver: resolver }
+        Self { address, iax2_address, operator_address, loop_sender, thread, _resolver: resolver }
     }
 
     /// An operator's call: the status and the body of its answer.
-    pub fn ask(&self, call: &str) -> (u32, String) {
-        ask(self.door, call)
+    pub fn operator_request(&self, call: &str) -> (u32, String) {
+        operator_request(self.operator_address, call)
     }
 
     /// One figure.
-    pub fn figure(&self, name: &str) -> String {
-        let text = self.ask("GET /ops/stats").1;
+    pub fn metric(&self, name: &str) -> String {
+        let text = self.operator_request("GET /ops/stats").1;
         let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
         line.unwrap_or("none").to_owned()
     }
 
     /// Waits until a figure has this value.
-    pub fn await_figure(&self, name: &str, value: &str) {
+    pub fn await_metric(&self, name: &str, value: &str) {
         let until = Instant::now() + PATIENCE;
-        while self.figure(name) != value {
-            assert!(Instant::now() < until, "{name} is {}, not {value}", self.figure(name));
+        while self.metric(name) != value {
+            assert!(Instant::now() < until, "{name} is {}, not {value}", self.metric(name));
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
     /// Tells it to stop and waits until it has.
-    pub fn drain(&mut self) -> bool {
+    pub fn stop(&mut self) -> bool {
         // An earlier order may have ended it already; what counts is how it ended.
-        let _ = self.to_loop.send(Message::Input(Input::Drain));
+        let _ = self.loop_sender.send(LoopMessage::Input(Input::Drain));
         self.thread.take().expect("it ran").join().expect("it did not panic")
     }
 }
 
-/// One call at an operators' door: the status and the body of its answer.
-pub fn ask(door: SocketAddr, call: &str) -> (u32, String) {
-    let mut stream = TcpStream::connect(door).expect("it listens");
+/// One call at an operators' operator_address: the status and the body of its answer.
+pub fn operator_request(operator_address: SocketAddr, call: &str) -> (u32, String) {
+    let mut stream = TcpStream::connect(operator_address).expect("it listens");
     stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     write!(stream, "{call} HTTP/1.1\r\nHost: localhost\r\nContent-Length: 0\r\n\r\n").expect("it reads");
-    hear(stream)
+    read_reply(stream)
 }
 
 /// The answer to a call at the operators' door.
-pub fn hear(mut stream: TcpStream) -> (u32, String) {
+pub fn read_reply(mut stream: TcpStream) -> (u32, String) {
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer in time");
     let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
@@ -98,22 +98,22 @@
 }
 
 /// One end of a connection that speaks JSON lines.
-pub struct Lines {
+pub struct JsonLinesConn {
     stream: TcpStream,
     reader: BufReader<TcpStream>,
     /// At an exchange: it listens for as long as it lives.
     listener: Option<TcpListener>,
 }
 
-impl Lines {
-    pub fn over(stream: TcpStream) -> Self {
+impl JsonLinesConn {
+    pub fn from_stream(stream: TcpStream) -> Self {
         stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
         let reader = BufReader::new(stream.try_clone().expect("a descriptor"));
         Self { stream, reader, listener: None }
     }
 
     pub fn connect(to: SocketAddr) -> Self {
-        Self::over(TcpStream::connect(to).expect("it listens"))
+        Self::from_stream(TcpStream::connect(to).expect("it listens"))
     }
 
     pub fn send(&mut self, line: &str) {
@@ -122,29 +122,29 @@
     }
 
     /// Sends whatever it is, and does not care how much of it is read.
-    pub fn pour(&mut self, bytes: &[u8]) {
+    pub fn send_raw(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes);
     }
 
     /// At an exchange: one more connection beside this one.
-    pub fn another(&self) -> Self {
-        Self::over(self.listener.as_ref().expect("an exchange").accept().expect("a connection").0)
+    pub fn accept_another(&self) -> Self {
+        Self::from_stream(self.listener.as_ref().expect("an exchange").accept().expect("a connection").0)
     }
 
     /// At an exchange whose connection has broken or was left: the next one.
-    pub fn accept_again(&mut self) {
+    pub fn accept_next(&mut self) {
         let listener = self.listener.take().expect("an exchange");
-        *self = Exchange { listener }.accept();
+        *self = ListeningExchange { listener }.accept();
     }
 
     /// The next line; `None` at the end of the connection, however it ends.
-    pub fn next(&mut self) -> Option<Said> {
+    pub fn receive(&mut self) -> Option<JsonMessage> {
         let mut line = String::new();
         let length = match self.reader.read_line(&mut line) {
             Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => 0,
             length => length.expect("a line in time"),
         };
-        let said = (length > 0).then(|| Said(parse_json(&line).expect("JSON")))?;
+        let said = (length > 0).then(|| JsonMessage(parse_json(&line).expect("JSON")))?;
         if self.listener.is_some() && said.text("kind") == "launch" {
             // A set-up takes a circuit, and an exchange tells of that at once.
             self.send(r#"{"kind":"usage","uid":"00000000000000ee","meta":{"load":"spare:20;total:30"}}"#);
@@ -152,20 +152,20 @@
         Some(said)
     }
 
-    pub fn expect(&mut self, kind: &str, call: &str) -> Said {
-        let said = self.next().expect("a line");
+    pub fn expect(&mut self, kind: &str, call: &str) -> JsonMessage {
+        let said = self.receive().expect("a line");
         assert_eq!((said.text("kind").as_str(), said.text("uid").as_str()), (kind, call), "{said:?}");
         said
     }
 
     /// Passes a test, which shows that nothing else was on its way here before.
-    pub fn quiet(&mut self) {
+    pub fn assert_quiet(&mut self) {
         self.send(r#"{"kind":"check","uid":"00000000000000ff","meta":{},"reason":0}"#);
         self.expect("checked", "00000000000000ff");
     }
 
     /// At an exchange: nothing has come that is not read yet.
-    pub fn quiet_exchange(&mut self) {
+    pub fn assert_exchange_quiet(&mut self) {
         self.stream.set_read_timeout(Some(Duration::from_millis(50))).expect("a time-out");
         let mut line = String::new();
         let read = self.reader.read_line(&mut line);
@@ -174,11 +174,11 @@
     }
 
     /// Breaks the connection and goes on listening.
-    pub fn split_reset(&mut self) -> Exchange {
+    pub fn reset_and_listen(&mut self) -> ListeningExchange {
         let listener = self.listener.take().expect("an exchange");
         self.stream.peek(&mut [0]).expect("bytes to leave unread");
         let _ = self.stream.shutdown(std::net::Shutdown::Both);
-        Exchange { listener }
+        ListeningExchange { listener }
     }
 
     /// Breaks the connection as a dying process does.
@@ -190,9 +190,9 @@
 
 /// A JSON line.
 #[derive(Debug)]
-pub struct Said(pub JsonValue);
+pub struct JsonMessage(pub JsonValue);
 
-impl Said {
+impl JsonMessage {
     fn field(&self, path: &str) -> Option<&JsonValue> {
         path.split('.').try_fold(&self.0, |value, key| {
             value.get::<std::collections::HashMap<String, JsonValue>>()?.get(key)
@@ -209,11 +209,11 @@
 }
 
 /// An exchange that speaks JSON lines.
-pub struct Exchange {
+pub struct ListeningExchange {
     listener: TcpListener,
 }
 
-impl Exchange {
+impl ListeningExchange {
     pub fn new() -> Self {
         Self { listener: TcpListener::bind("127.0.0.1:0").expect("a port") }
     }
@@ -223,22 +223,22 @@
     }
 
     /// Takes a connection.
-    pub fn accept(self) -> Lines {
-        let mut lines = Lines::over(self.listener.accept().expect("a connection").0);
+    pub fn accept(self) -> JsonLinesConn {
+        let mut lines = JsonLinesConn::from_stream(self.listener.accept().expect("a connection").0);
         lines.listener = Some(self.listener);
         lines
     }
 }
 
 /// A set-up as callers of the platform write it.
-pub fn launch(call: &str, dest: u32, left: u32) -> String {
+pub fn launch_line(call: &str, dest: u32, left: u32) -> String {
     format!(
         r#"{{"kind":"launch","uid":"{call}","meta":{{"class":"status","left":"{left}","key":"7F3a","extras":"dest:{dest};width:1;via:-1"}},"body":"v=0\r\n\u00fc \"q\" \ud83d\ude00"}}"#
     )
 }
 
 /// One leg of an IAX2 peer, caller or node, with numbering and acknowledgements of its own.
-pub struct Phone {
+pub struct Iax2Endpoint {
     pub socket: UdpSocket,
     pub peer: Option<SocketAddr>,
     pub local: u16,
@@ -249,7 +249,7 @@
     pub repeated: usize,
 }
 
-impl Phone {
+impl Iax2Endpoint {
     pub fn new(local: u16) -> Self {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
         socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
@@ -295,18 +295,18 @@
             payload,
         };
         self.oseqno = self.oseqno.wrapping_add(1);
-        self.put(&frame);
+        self.send_frame(&frame);
         frame
     }
 
-    pub fn put(&self, frame: &FullFrame) {
+    pub fn send_frame(&self, frame: &FullFrame) {
         self.socket.send_to(&frame.encode(), self.peer.expect("a peer")).expect("sent");
     }
 
     fn report(&self, subclass: u32, timestamp: u32) {
         let (source_call, dest_call, oseqno, iseqno) = (self.local, self.remote, self.oseqno, self.iseqno);
         let (frame_type, payload) = (FrameType::Iax, Vec::new());
-        self.put(&FullFrame {
+        self.send_frame(&FullFrame {
             source_call,
             dest_call,
             retransmitted: false,
@@ -320,7 +320,7 @@
     }
 
     /// The next datagram, whatever it is and unanswered.
-    pub fn raw(&mut self) -> Frame {
+    pub fn receive_unacked(&mut self) -> Frame {
         let mut bytes = [0; 2_048];
         let (length, from) = self.socket.recv_from(&mut bytes).expect("a datagram in time");
         self.peer = Some(from);
@@ -328,13 +328,13 @@
     }
 
     /// The next new frame in order, acknowledged; a poke is answered on the way.
-    pub fn next(&mut self) -> FullFrame {
+    pub fn receive(&mut self) -> FullFrame {
         loop {
-            let Frame::Full(frame) = self.raw() else { continue };
+            let Frame::Full(frame) = self.receive_unacked() else { continue };
             if frame.is_iax(iax::POKE) {
                 let (source_call, dest_call) = (1, frame.source_call);
                 let pong = FullFrame { source_call, dest_call, iseqno: 1, subclass: iax::PONG, ..frame };
-                self.put(&pong);
+                self.send_frame(&pong);
                 continue;
             }
             // An acknowledgement of the pong, under the number that pongs have.
@@ -355,7 +355,7 @@
 
     /// The next new frame, which is this message.
     pub fn expect(&mut self, frame_type: FrameType, subclass: u32) -> InformationElements {
-        let frame = self.next();
+        let frame = self.receive();
         assert_eq!((frame.frame_type, frame.subclass), (frame_type, subclass), "{frame:?}");
         if frame_type == FrameType::Iax {
             InformationElements::decode(&frame.payload).expect("elements")
@@ -376,16 +376,16 @@
     }
 
     /// The next mini frame.
-    pub fn mini(&mut self) -> MiniFrame {
+    pub fn receive_mini(&mut self) -> MiniFrame {
         loop {
-            if let Frame::Mini(mini) = self.raw() {
+            if let Frame::Mini(mini) = self.receive_unacked() {
                 return mini;
             }
         }
     }
 
     /// Pokes the softswitch and takes what comes before its answer: all that was on its way here.
-    pub fn before_pong(&mut self) -> Vec<FullFrame> {
+    pub fn frames_before_pong(&mut self) -> Vec<FullFrame> {
         let (source_call, frame_type, subclass) = (99, FrameType::Iax, iax::POKE);
         let poke = FullFrame {
             source_call,
@@ -398,10 +398,10 @@
             subclass,
             payload: vec![],
         };
-        self.put(&poke);
+        self.send_frame(&poke);
         let mut seen = Vec::new();
         loop {
-            match self.raw() {
+            match self.receive_unacked() {
                 Frame::Full(frame) if frame.is_iax(iax::PONG) && frame.dest_call == 99 => return seen,
                 Frame::Full(frame) => seen.push(frame),
                 Frame::Mini(_) => {}
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -1,12 +1,12 @@
 //! Sending callers away at an operator's order, in virtual time and on loopback.
 
+#[path = "common/endpoints.rs"]
+mod endpoints;
 #[path = "common/engine_harness.rs"]
 mod engine_harness;
-#[path = "common/peers.rs"]
-mod peers;
 
+use endpoints::{Iax2Endpoint, JsonLinesConn, ListeningExchange, Softswitch, launch_line};
 use engine_harness::{CALLER_CONN, EngineHarness, call_uid};
-use peers::{Exchange, Lines, Phone, Switch, launch};
 use swiftlb::engine::{CallerMessage, Effect, Front, Input};
 use swiftlb::iax2::frame::{FrameType, control, iax};
 use swiftlb::interface::{Outcome, Reason};
@@ -145,35 +145,36 @@
 
 #[test]
 fn on_sockets_bytes_that_crossed_are_served_and_handsets_are_told_themselves() {
-    let exchange = Exchange::new();
-    let switch = Switch::start(&[exchange.address()], &[]);
+    let exchange = ListeningExchange::new();
+    let switch = Softswitch::start(&[exchange.address()], &[]);
     let mut exchange = exchange.accept();
-    let handsets = switch.handsets.expect("it is on");
-    let (mut caller, mut idle) = (Lines::connect(switch.address), Lines::connect(switch.address));
-    let (mut standing, mut late) = (Phone::new(20), Phone::new(30));
+    let handsets = switch.iax2_address.expect("it is on");
+    let (mut caller, mut idle) =
+        (JsonLinesConn::connect(switch.address), JsonLinesConn::connect(switch.address));
+    let (mut standing, mut late) = (Iax2Endpoint::new(20), Iax2Endpoint::new(30));
     standing.call(handsets, "17");
-    let handset = exchange.next().expect("a set-up").text("uid");
+    let handset = exchange.receive().expect("a set-up").text("uid");
     exchange.send(&format!(r#"{{"kind":"running","uid":"{handset}","meta":{{}},"body":""}}"#));
     standing.expect(FrameType::Iax, iax::ACCEPT);
     standing.expect(FrameType::Control, control::ANSWER);
-    idle.quiet();
-    assert_eq!(switch.ask("PUT /ops/drain/start").0, 200);
+    idle.assert_quiet();
+    assert_eq!(switch.operator_request("PUT /ops/drain/start").0, 200);
     // Half a set-up keeps its connection; the whole of it is served, and then the connection is closed.
-    let setup = launch("00000000000000aa", 1, 3_000);
-    caller.pour(&setup.as_bytes()[..40]);
-    assert!(idle.next().is_none());
-    caller.pour(format!("{}\n", &setup[40..]).as_bytes());
+    let setup = launch_line("00000000000000aa", 1, 3_000);
+    caller.send_raw(&setup.as_bytes()[..40]);
+    assert!(idle.receive().is_none());
+    caller.send_raw(format!("{}\n", &setup[40..]).as_bytes());
     exchange.expect("launch", "00000000000000aa");
     exchange.send(r#"{"kind":"stop","uid":"00000000000000aa","meta":{"note":"user_busy"},"reason":17}"#);
     caller.expect("stop", "00000000000000aa");
-    assert!(caller.next().is_none());
+    assert!(caller.receive().is_none());
     late.call(handsets, "17");
     assert_eq!(late.expect(FrameType::Iax, iax::REJECT).cause_code, Some(34));
     exchange.send(&format!(r#"{{"kind":"stop","uid":"{handset}","meta":{{}},"reason":16}}"#));
     assert_eq!(standing.expect(FrameType::Iax, iax::HANGUP).cause_code, Some(16));
-    assert_eq!(switch.ask("PUT /ops/drain/stop").0, 200);
-    Lines::connect(switch.address).quiet();
-    let mut phone = Phone::new(40);
+    assert_eq!(switch.operator_request("PUT /ops/drain/stop").0, 200);
+    JsonLinesConn::connect(switch.address).assert_quiet();
+    let mut phone = Iax2Endpoint::new(40);
     phone.call(handsets, "17");
-    assert_eq!(exchange.next().expect("a set-up").text("kind"), "launch");
+    assert_eq!(exchange.receive().expect("a set-up").text("kind"), "launch");
 }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -450,7 +450,7 @@
     harness.place_call(2, 1, 2_000);
     harness.answer(2, 1);
     let mut config = engine_harness::config(3);
-    config.names = "127.0.0.9:53".parse().expect("an address");
+    config.resolver = "127.0.0.9:53".parse().expect("an address");
     config.classes.reverse();
     config.settings.classes.reverse();
     config.settings.max_retry_after_ms = 50.0;
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use swiftlb::load::{RecordedLoad, SetUpOptions};
-use swiftlb::net::jsonl::{FromCaller, read_caller};
+use swiftlb::net::jsonl::{CallerLine, parse_caller_line};
 
 const HAR: &str = r#"{"log":{"version":"1.2","entries":[
     {"startedDateTime":"2026-07-01T12:00:02.500+02:00","time":40,"request":{"method":"GET","url":"https://h/units/7?x=1"},"response":{"status":200}},
@@ -41,8 +41,8 @@
     let plan = SetUpOptions { class: "unit-status".to_owned(), remaining, dest: None, exchanges: 3 };
     let mut seen = Vec::new();
     for (at, line) in load.setups(&plan) {
-        let read = read_caller(line.as_bytes(), std::time::UNIX_EPOCH);
-        let Ok(FromCaller::SetUp(call, setup)) = read else { panic!("{line}") };
+        let read = parse_caller_line(line.as_bytes(), std::time::UNIX_EPOCH);
+        let Ok(CallerLine::SetUp(call, setup)) = read else { panic!("{line}") };
         assert_eq!((setup.class.as_str(), setup.remaining), ("unit-status", Some(remaining)));
         assert!(setup.dest < 3);
         seen.push((at.as_millis(), setup.called_number, setup.dest, call));
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,24 +1,24 @@
 //! The operators' door on loopback: its answers, its figures, and that callers cannot hold it up.
 
+#[path = "common/endpoints.rs"]
+mod endpoints;
 #[path = "common/engine_harness.rs"]
 mod engine_harness;
-#[path = "common/peers.rs"]
-mod peers;
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
 
-use peers::{Exchange, Lines, Phone, Switch, hear, launch, timed};
+use endpoints::{Iax2Endpoint, JsonLinesConn, ListeningExchange, Softswitch, launch_line, read_reply, timed};
 use proptest::prelude::*;
 use swiftlb::iax2::frame::{FrameType, iax};
 use swiftlb::ops::{self, MAX_HEAD_BYTES, OperatorRequest, RequestError};
 
 const CALL: &str = "9b1f03aa5c7e2d41";
 
-fn one_exchange() -> (Switch, Lines) {
-    let exchange = Exchange::new();
-    let switch = Switch::start(&[exchange.address()], &[]);
+fn one_exchange() -> (Softswitch, JsonLinesConn) {
+    let exchange = ListeningExchange::new();
+    let switch = Softswitch::start(&[exchange.address()], &[]);
     (switch, exchange.accept())
 }
 
@@ -33,20 +33,20 @@
         ("PUT /ops/readiness", 405),
         ("GET /ops/drain/start", 405),
     ] {
-        assert_eq!(switch.ask(call).0, status, "{call}");
+        assert_eq!(switch.operator_request(call).0, status, "{call}");
     }
-    let mut stream = TcpStream::connect(switch.door).expect("it listens");
+    let mut stream = TcpStream::connect(switch.operator_address).expect("it listens");
     stream.write_all(b"\x01\x02\r\n\r\n").expect("it reads");
-    assert_eq!(hear(stream).0, 400);
-    let mut stream = TcpStream::connect(switch.door).expect("it listens");
+    assert_eq!(read_reply(stream).0, 400);
+    let mut stream = TcpStream::connect(switch.operator_address).expect("it listens");
     stream.write_all(format!("GET /{}", "x".repeat(MAX_HEAD_BYTES)).as_bytes()).expect("it reads");
-    assert_eq!(hear(stream).0, 431);
+    assert_eq!(read_reply(stream).0, 431);
     // A head in pieces, with a body behind it that nobody waits for.
-    let mut stream = TcpStream::connect(switch.door).expect("it listens");
+    let mut stream = TcpStream::connect(switch.operator_address).expect("it listens");
     for piece in ["PUT /ops/dra", "in/stop HTTP/1.1\r\nContent-Length: 9\r\n", "\r\nabc"] {
         stream.write_all(piece.as_bytes()).expect("it reads");
     }
-    assert_eq!(hear(stream).0, 200);
+    assert_eq!(read_reply(stream).0, 200);
 }
 
 #[test]
@@ -54,13 +54,13 @@
     let (switch, _exchange) = one_exchange();
     let mut held: Vec<TcpStream> = (0..40)
         .map(|n| {
-            let mut stream = TcpStream::connect(switch.door).expect("it listens");
+            let mut stream = TcpStream::connect(switch.operator_address).expect("it listens");
             // One that was put out already may be found closed.
             let _ = stream.write_all(&b"GET /ops/sta"[..n % 12]);
             stream
         })
         .collect();
-    assert_eq!(switch.ask("GET /ops/stats").0, 200);
+    assert_eq!(switch.operator_request("GET /ops/stats").0, 200);
     // The oldest is gone long before it would be for its silence.
     let (end, waited) = timed(|| held[0].read(&mut [0]));
     assert!(!matches!(end, Ok(1..)) && waited < Duration::from_secs(4), "{end:?} after {waited:?}");
@@ -74,31 +74,31 @@
     };
     for class in ["status", "lookup"] {
         for result in ["completed", "rejected", "failed"] {
-            assert_eq!(switch.figure(&of(class, result)), "0", "each is there from the start");
+            assert_eq!(switch.metric(&of(class, result)), "0", "each is there from the start");
         }
     }
-    assert_eq!(switch.figure("svc_members"), "2");
-    assert_eq!(switch.figure("svc_members_unavailable"), "0");
-    let text = switch.ask("GET /ops/stats").1;
+    assert_eq!(switch.metric("svc_members"), "2");
+    assert_eq!(switch.metric("svc_members_unavailable"), "0");
+    let text = switch.operator_request("GET /ops/stats").1;
     for line in ["# TYPE svc_downstream_requests counter", "# TYPE svc_pending gauge", "# HELP svc_members "]
     {
         assert!(text.contains(line), "{text}");
     }
-    let mut caller = Lines::connect(switch.address);
-    caller.send(&launch(CALL, 1, 1_500));
+    let mut caller = JsonLinesConn::connect(switch.address);
+    caller.send(&launch_line(CALL, 1, 1_500));
     exchange.expect("launch", CALL);
-    assert_eq!(switch.figure("svc_pending"), "1");
+    assert_eq!(switch.metric("svc_pending"), "1");
     exchange.send(&format!(r#"{{"kind":"running","uid":"{CALL}","meta":{{}},"body":""}}"#));
     caller.expect("running", CALL);
-    assert_eq!(switch.figure("svc_pending"), "1", "it stands, so it has not ended");
+    assert_eq!(switch.metric("svc_pending"), "1", "it stands, so it has not ended");
     exchange.send(&format!(r#"{{"kind":"stop","uid":"{CALL}","meta":{{}},"reason":16}}"#));
     caller.expect("stop", CALL);
     // A call to nowhere is refused, one that finds the number busy fails.
-    caller.send(&launch("00000000000000aa", 9, 1_500));
+    caller.send(&launch_line("00000000000000aa", 9, 1_500));
     caller.expect("stop", "00000000000000aa");
-    let mut phone = Phone::new(20);
-    phone.call(switch.handsets.expect("it is on"), "17");
-    let handset = exchange.next().expect("a set-up").text("uid");
+    let mut phone = Iax2Endpoint::new(20);
+    phone.call(switch.iax2_address.expect("it is on"), "17");
+    let handset = exchange.receive().expect("a set-up").text("uid");
     exchange
         .send(&format!(r#"{{"kind":"stop","uid":"{handset}","meta":{{"note":"user_busy"}},"reason":17}}"#));
     phone.expect(FrameType::Iax, iax::REJECT);
@@ -110,7 +110,7 @@
         ("svc_upstream_requests".to_owned(), "2"),
         ("svc_pending".to_owned(), "0"),
     ] {
-        assert_eq!(switch.figure(&name), value, "{name}");
+        assert_eq!(switch.metric(&name), value, "{name}");
     }
 }
 
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -15,8 +15,8 @@
 use swiftlb::iax2::{Endpoint, Iax2Config, Output};
 use swiftlb::interface::{Outcome, Readiness, Reason};
 use swiftlb::net::jsonl::{
-    Cut, FromCaller, FromExchange, LONGEST, LineError, Lines, read_caller, read_exchange, write_caller,
-    write_exchange,
+    CallerLine, ExchangeLine, LineError, LineSplitter, MAX_LINE_BYTES, SplitLine, format_caller_message,
+    format_exchange_message, parse_caller_line, parse_exchange_line,
 };
 use swiftlb::net::{dns, handover};
 
@@ -45,9 +45,9 @@
 
 #[test]
 fn a_stream_cut_anywhere_gives_the_same_lines() {
-    let stream = format!("{}\n\n{{\"kind\":\"check\"}}\n{}\nrest", launch(), "y".repeat(LONGEST + 5));
+    let stream = format!("{}\n\n{{\"kind\":\"check\"}}\n{}\nrest", launch(), "y".repeat(MAX_LINE_BYTES + 5));
     let lines = |cuts: &[usize]| {
-        let (mut lines, mut seen, mut at) = (Lines::default(), Vec::new(), 0);
+        let (mut lines, mut seen, mut at) = (LineSplitter::default(), Vec::new(), 0);
         for end in cuts.iter().copied().chain([stream.len()]) {
             let pushed = lines.push(&stream.as_bytes()[at..end], |cut| {
                 seen.push(cut);
@@ -60,14 +60,14 @@
     };
     let whole = lines(&[]);
     assert_eq!(whole.len(), 3);
-    assert!(matches!(&whole[2], Cut::TooLong(_)));
+    assert!(matches!(&whole[2], SplitLine::TooLong(_)));
     let cuts = vec(0..stream.len(), 0..6);
     let same = |mut cuts: Vec<usize>| {
         cuts.sort_unstable();
-        let kind = |cut: &Cut| match cut {
-            Cut::Whole(line) => Some(line.clone()),
+        let kind = |cut: &SplitLine| match cut {
+            SplitLine::Complete(line) => Some(line.clone()),
             // How much of a line that is too long is kept depends on the cuts.
-            Cut::TooLong(_) => None,
+            SplitLine::TooLong(_) => None,
         };
         prop_assert!(lines(&cuts).iter().map(kind).eq(whole.iter().map(kind)));
         Ok(())
@@ -79,11 +79,11 @@
 fn lines_cut_short_and_garbage_are_errors_and_never_panics() {
     let line = launch();
     for end in 0..line.len() {
-        assert!(read_caller(&line.as_bytes()[..end], UNIX_EPOCH).is_err(), "{end}");
+        assert!(parse_caller_line(&line.as_bytes()[..end], UNIX_EPOCH).is_err(), "{end}");
     }
     let garbage = |bytes: Vec<u8>| {
-        let _ = (read_caller(&bytes, UNIX_EPOCH), read_exchange(&bytes, &report()));
-        let _ = (dns::read_answer(&[1], &bytes, &[]), decode(&bytes), InformationElements::decode(&bytes));
+        let _ = (parse_caller_line(&bytes, UNIX_EPOCH), parse_exchange_line(&bytes, &report()));
+        let _ = (dns::parse_answer(&[1], &bytes, &[]), decode(&bytes), InformationElements::decode(&bytes));
         let text = String::from_utf8_lossy(&bytes);
         prop_assert!(Config::parse(&text).is_err());
         Ok(())
@@ -93,7 +93,7 @@
         "{", "}", "[", "]", ":", ",", "\"", "\\", "\\u", "d83d", "1e9", "null", "kind", "uid", CALL, "meta",
     ]);
     let json = |pieces: Vec<&str>| {
-        let _ = read_caller(pieces.concat().as_bytes(), UNIX_EPOCH);
+        let _ = parse_caller_line(pieces.concat().as_bytes(), UNIX_EPOCH);
         Ok(())
     };
     runner(3).run(&vec(pieces, 0..60), json).expect("errors only");
@@ -103,7 +103,7 @@
 #[test]
 fn a_set_up_is_read_field_by_field_and_a_wrong_one_names_its_call() {
     let now = SystemTime::now();
-    let Ok(FromCaller::SetUp(call, setup)) = read_caller(launch().as_bytes(), now) else { panic!() };
+    let Ok(CallerLine::SetUp(call, setup)) = parse_caller_line(launch().as_bytes(), now) else { panic!() };
     assert_eq!((call, setup.class.as_str(), setup.dest), (name(), "voice", 2));
     assert_eq!((setup.remaining, setup.received), (Some(Duration::from_millis(1_500)), now));
     assert_eq!((setup.transit_from, setup.advised_route, setup.was_cut), (Some(3), None, true));
@@ -112,18 +112,18 @@
         [("dest:2", "dest:x"), ("\"1500\"", "\"soon\""), ("\"voice\"", "[]"), ("launch", "l\nunch")]
     {
         let wrong = launch().replace(from, to);
-        assert_eq!(read_caller(wrong.as_bytes(), now), Err(LineError::Call(name())), "{wrong}");
+        assert_eq!(parse_caller_line(wrong.as_bytes(), now), Err(LineError::Malformed(name())), "{wrong}");
     }
     let other = launch().replace(CALL, "9b1f");
-    assert_eq!(read_caller(other.as_bytes(), now), Err(LineError::Unreadable));
+    assert_eq!(parse_caller_line(other.as_bytes(), now), Err(LineError::Unreadable));
 }
 
 #[test]
 fn every_end_and_note_of_an_exchange_has_its_outcome_and_reason() {
     let stop = |cause: u32, meta: &str| {
         let line = format!(r#"{{"kind":"stop","uid":"{CALL}","meta":{{{meta}}},"reason":{cause}}}"#);
-        match read_exchange(line.as_bytes(), &report()) {
-            Ok(FromExchange::Stop(_, outcome, reason)) => (outcome, reason),
+        match parse_exchange_line(line.as_bytes(), &report()) {
+            Ok(ExchangeLine::Stop(_, outcome, reason)) => (outcome, reason),
             other => panic!("{other:?}"),
         }
     };
@@ -144,8 +144,8 @@
 fn a_report_has_its_values_by_name_and_what_is_missing_is_no_number() {
     let usage = |load: &str| {
         let line = format!(r#"{{"kind":"usage","meta":{{"load":"{load}"}},"uid":"0000000000000000"}}"#);
-        match read_exchange(line.as_bytes(), &report()) {
-            Ok(FromExchange::Usage(report)) => report,
+        match parse_exchange_line(line.as_bytes(), &report()) {
+            Ok(ExchangeLine::Usage(report)) => report,
             other => panic!("{other:?}"),
         }
     };
@@ -159,12 +159,12 @@
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
     let refused = CallerMessage::Refused { retry_after: Duration::from_millis(300) };
     assert_eq!(
-        text(write_caller(name(), &refused)),
+        text(format_caller_message(name(), &refused)),
         format!("{{\"kind\":\"stop\",\"uid\":\"{CALL}\",\"meta\":{{\"wait\":\"300\"}},\"reason\":34}}\n")
     );
     // Failures are never written with a cause that stands for a refusal.
     for busy in [true, false] {
-        let line = text(write_caller(name(), &CallerMessage::Failed { busy }));
+        let line = text(format_caller_message(name(), &CallerMessage::Failed { busy }));
         assert!(["34}", "42}", "102}"].iter().all(|cause| !line.contains(cause)), "{line}");
     }
     let description = Some("a\r\n\"\u{fc}\u{1f600}".into());
@@ -175,7 +175,7 @@
         remaining,
         description,
     };
-    let line = text(write_exchange(name(), &setup));
+    let line = text(format_exchange_message(name(), &setup));
     assert!(line.ends_with("}\n") && line.matches('\n').count() == 1, "{line}");
     assert!(line.contains(r#""class":"voice","key":"7F3a","left":"1500""#), "{line}");
 }
@@ -194,21 +194,21 @@
     bytes[11] = 2; // The recording ends after the records of the first target.
     let zones = ["graz".to_owned(), "wien".to_owned()];
     // An exchange that is not listed counts as gone, so an answer that lacks records of one is none at all.
-    assert!(matches!(dns::read_answer(&[0x1234], &bytes, &zones), Err(dns::AnswerError::Partial)));
+    assert!(matches!(dns::parse_answer(&[0x1234], &bytes, &zones), Err(dns::AnswerError::Incomplete)));
     // The same without the two targets of which nothing more is said.
     let (first, second) = (12 + 26 + 41, 12 + 26 + 3 * 41);
     bytes.drain(first..second);
     bytes[7] = 1;
-    let (serial, list) = dns::read_answer(&[7, 0x1234], &bytes, &zones).expect("an answer");
+    let (serial, list) = dns::parse_answer(&[7, 0x1234], &bytes, &zones).expect("an answer");
     assert_eq!((serial, list.len()), (1, 1));
     assert_eq!((&*list[0].name, list[0].number, list[0].zone), ("s-0fea4956", 1, 1));
     assert_eq!(list[0].address, "127.8.1.1:5070".parse().expect("an address"));
     assert_eq!((list[0].started_at, list[0].readiness), (None, Readiness::Ready));
-    assert!(dns::read_answer(&[0x1235], &bytes, &zones).is_err(), "an answer to another query");
+    assert!(dns::parse_answer(&[0x1235], &bytes, &zones).is_err(), "an answer to another query");
     for end in 0..bytes.len() {
-        assert!(dns::read_answer(&[0x1234], &bytes[..end], &zones).is_err(), "{end}");
+        assert!(dns::parse_answer(&[0x1234], &bytes[..end], &zones).is_err(), "{end}");
     }
-    let query = dns::query(0x1234).expect("a query");
+    let query = dns::build_query(0x1234).expect("a query");
     assert_eq!(&query[12..], &bytes[12..12 + query.len() - 12], "the question is the one that was answered");
 }
 
@@ -367,16 +367,16 @@
                 SiblingMessage::Ended { call, cut: flag },
                 SiblingMessage::Release { call, cut: flag },
             ] {
-                let mut line = handover::write(&word);
+                let mut line = handover::format_message(&word);
                 prop_assert_eq!(line.pop(), Some(b'\n'));
-                prop_assert_eq!(handover::read(&line), Ok(word));
+                prop_assert_eq!(handover::parse_message(&line), Ok(word));
                 let cut = cut % line.len();
-                prop_assert!(handover::read(&line[..cut]).is_err());
+                prop_assert!(handover::parse_message(&line[..cut]).is_err());
                 line.splice(cut..cut, garbage.iter().copied());
                 // Whatever it has become, it is read or turned down without a panic.
-                let _ = handover::read(&line);
+                let _ = handover::parse_message(&line);
             }
-            prop_assert!(handover::read(&garbage).is_err());
+            prop_assert!(handover::parse_message(&garbage).is_err());
             Ok(())
         })
         .expect("words that come back");
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -14,7 +14,7 @@
 
 use engine_harness::{CALLER_CONN, EngineHarness, call_uid, list_entry};
 use rng::SplitMix64;
-use swiftlb::edge::{Edge, EdgeError};
+use swiftlb::edge::{EdgeError, EdgeSettings};
 use swiftlb::engine::{CallerMessage, Effect, Input};
 use swiftlb::interface::{Outcome, Readiness, Reason};
 use swiftlb::ops::{self, OperatorRequest};
@@ -409,7 +409,7 @@
 
 #[test]
 fn what_is_wrong_with_the_settings_is_said_with_its_line() {
-    let wrong = |text: &str| Edge::parse("edge.json", text).expect_err(text).to_string();
+    let wrong = |text: &str| EdgeSettings::parse("edge.json", text).expect_err(text).to_string();
     let all = "one of enabled, directory, file_mb, file_minutes, budget_mb, queue";
     for (text, said) in [
         ("[]", "edge.json:1: the file: expected an object".to_owned()),
@@ -442,14 +442,14 @@
     ] {
         assert_eq!(wrong(text), said, "{text}");
     }
-    assert!(matches!(Edge::parse("f", "{"), Err(EdgeError::NotJson { .. })));
-    assert_eq!(Edge::parse("f", "{}"), Ok(Edge::default()));
+    assert!(matches!(EdgeSettings::parse("f", "{"), Err(EdgeError::NotJson { .. })));
+    assert_eq!(EdgeSettings::parse("f", "{}"), Ok(EdgeSettings::default()));
     let text = r#"{"records":{"enabled":false,"directory":"a \" : \\"}}"#;
-    assert_eq!(Edge::parse("f", text), Ok(Edge::default()));
-    assert_eq!(Edge::load("no such file", false), Ok(Edge::default()));
-    assert!(Edge::load("no such file", true).is_err());
+    assert_eq!(EdgeSettings::parse("f", text), Ok(EdgeSettings::default()));
+    assert_eq!(EdgeSettings::load("no such file", false), Ok(EdgeSettings::default()));
+    assert!(EdgeSettings::load("no such file", true).is_err());
     let shipped = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/edge.json");
-    assert_eq!(Edge::load(shipped, true), Ok(Edge::default()), "the platform has none of it");
+    assert_eq!(EdgeSettings::load(shipped, true), Ok(EdgeSettings::default()), "the platform has none of it");
 }
 
 #[test]
@@ -493,13 +493,13 @@
 
 #[test]
 fn a_rehearsal_s_clock_is_ahead_and_drifts() {
-    let edge =
-        Edge::parse("f", r#"{"rehearsal":{"clock_ahead_ms":-80,"clock_drift_ppm":50}}"#).expect("settings");
-    let clock = edge.rehearsal.from(SystemTime::UNIX_EPOCH + Duration::from_secs(100));
-    assert_eq!(clock.shows(100_000_000), 100_000_000 - 80_000);
-    assert_eq!(clock.shows(200_000_000), 200_000_000 - 80_000 + 5_000);
-    let right = Edge::default().rehearsal.from(SystemTime::UNIX_EPOCH);
-    assert_eq!(right.shows(77), 77);
+    let edge = EdgeSettings::parse("f", r#"{"rehearsal":{"clock_ahead_ms":-80,"clock_drift_ppm":50}}"#)
+        .expect("settings");
+    let clock = edge.clock_skew.start_clock(SystemTime::UNIX_EPOCH + Duration::from_secs(100));
+    assert_eq!(clock.skewed_us(100_000_000), 100_000_000 - 80_000);
+    assert_eq!(clock.skewed_us(200_000_000), 200_000_000 - 80_000 + 5_000);
+    let right = EdgeSettings::default().clock_skew.start_clock(SystemTime::UNIX_EPOCH);
+    assert_eq!(right.skewed_us(77), 77);
 }
 
 #[test]
--- a/tests/replacement.rs
+++ b/tests/replacement.rs
@@ -1,10 +1,10 @@
 //! One process takes the place of another: in virtual time between two engines, and as two started programs that
 //! share a listening socket.
 
+#[path = "common/endpoints.rs"]
+mod endpoints;
 #[path = "common/engine_harness.rs"]
 mod engine_harness;
-#[path = "common/peers.rs"]
-mod peers;
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -14,8 +14,8 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
+use endpoints::{Iax2Endpoint, JsonLinesConn, ListeningExchange, launch_line, operator_request};
 use engine_harness::{CALLER_CONN, EngineHarness, call_uid, config};
-use peers::{Exchange, Lines, Phone, ask, launch};
 use swiftlb::Controller;
 use swiftlb::engine::{
     CallerMessage, Effect, Engine, ExchangeMessage, Front, HandoverState, Input, SiblingMessage,
@@ -49,8 +49,8 @@
     let mut inheritance = HandoverState::default();
     for word in said(old) {
         // Through the wire: nothing may be lost on the way.
-        let line = handover::write(&word);
-        match handover::read(&line).expect("a word") {
+        let line = handover::format_message(&word);
+        match handover::parse_message(&line).expect("a word") {
             SiblingMessage::Exchange(entry) => inheritance.list.push(entry),
             SiblingMessage::Learned { topic, exchange, values } => {
                 inheritance.learned.push((topic, exchange, values))
@@ -163,7 +163,7 @@
     listen(&mut old, &mut new);
     new.place_call(9, 1, 3_000);
     assert_eq!(new.caller_messages(3), [CallerMessage::Released { cut: true }]);
-    // Said again, it is old news on both sides.
+    // JsonMessage again, it is old news on both sides.
     new.end_call(3, 1, Outcome::Reset, Reason::Unspecified);
     listen(&mut new, &mut old);
     listen(&mut old, &mut new);
@@ -274,18 +274,21 @@
 /// A started program; it is killed with the test.
 struct Program {
     child: Child,
-    door: SocketAddr,
+    operator_address: SocketAddr,
 }
 
 impl Program {
     /// Inherits the listener as its standard input, which is a descriptor like any other.
     fn start(listener: &TcpListener, folder: &Path) -> Self {
         // A port that is free now; the system gives each only once in a while.
-        let door = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
+        let operator_address = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
         let listener: OwnedFd = listener.try_clone().expect("a descriptor").into();
         let mut command = Command::new(env!("CARGO_BIN_EXE_swiftlb"));
         command.env("NODE_CONFIG", folder.join("config.json")).env("NODE_FD", "0").env("TMPDIR", folder);
-        command.env("NODE_OPERATOR", door.to_string()).stdin(Stdio::from(listener)).stderr(Stdio::piped());
+        command
+            .env("NODE_OPERATOR", operator_address.to_string())
+            .stdin(Stdio::from(listener))
+            .stderr(Stdio::piped());
         command.arg("--iax2").arg(folder.join("iax2.json"));
         let mut child = command.spawn().expect("it starts");
         let mut log = BufReader::new(child.stderr.take().expect("its log"));
@@ -296,12 +299,12 @@
             assert!(log.read_line(&mut line).expect("a line") > 0, "it ended");
         }
         std::thread::spawn(move || log.read_to_string(&mut String::new()));
-        Self { child, door }
+        Self { child, operator_address }
     }
 
     /// Waits until it says that it can serve; one without a predecessor would wait for the resolver, too.
     fn ready(self) -> Self {
-        while ask(self.door, "GET /ops/readiness").0 != 200 {
+        while operator_request(self.operator_address, "GET /ops/readiness").0 != 200 {
             std::thread::sleep(Duration::from_millis(10));
         }
         self
@@ -321,9 +324,9 @@
 }
 
 /// What two programs share: the listening socket, the folder, one exchange.
-fn stage(name: &str) -> (TcpListener, Folder, Exchange, UdpSocket) {
+fn stage(name: &str) -> (TcpListener, Folder, ListeningExchange, UdpSocket) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (folder, exchange) = (Folder::new(name), Exchange::new());
+    let (folder, exchange) = (Folder::new(name), ListeningExchange::new());
     let resolver = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let address = |a: std::io::Result<SocketAddr>| a.expect("an address").to_string();
     let all = ["127.0.0.1:9".to_owned(), exchange.address().to_string()];
@@ -339,8 +342,8 @@
     (listener, folder, exchange, resolver)
 }
 
-fn set_up(caller: &mut Lines, exchange: &mut Lines, call: &str) {
-    caller.send(&launch(call, 1, 3_000));
+fn set_up(caller: &mut JsonLinesConn, exchange: &mut JsonLinesConn, call: &str) {
+    caller.send(&launch_line(call, 1, 3_000));
     exchange.expect("launch", call);
     exchange.send(&format!(r#"{{"kind":"running","uid":"{call}","meta":{{}},"body":""}}"#));
     caller.expect("running", call);
@@ -352,15 +355,15 @@
     let address = listener.local_addr().expect("an address");
     let mut old = Program::start(&listener, &folder.0);
     let mut at_old = exchange.accept();
-    let mut caller = Lines::connect(address);
+    let mut caller = JsonLinesConn::connect(address);
     set_up(&mut caller, &mut at_old, "00000000000000a1");
     set_up(&mut caller, &mut at_old, "00000000000000a2");
     let new = Program::start(&listener, &folder.0).ready();
-    let mut at_new = at_old.another();
+    let mut at_new = at_old.accept_another();
     old.terminate();
     // The old one's connection is closed as nothing is open on it; new ones are the new one's.
-    assert!(caller.next().is_none());
-    let mut caller = Lines::connect(address);
+    assert!(caller.receive().is_none());
+    let mut caller = JsonLinesConn::connect(address);
     set_up(&mut caller, &mut at_new, "00000000000000b1");
     // Each word on a call of the old one gets there: the caller's release, and the exchange's.
     caller.send(r#"{"kind":"stop","uid":"00000000000000a1","meta":{},"reason":16}"#);
@@ -371,26 +374,26 @@
     // Handsets are the new one's as well, once it has their address.
     let iax2 = std::fs::read_to_string(folder.0.join("iax2.json")).expect("a file");
     let handsets = Iax2Config::parse(&iax2).expect("a configuration").expect("it is on").listen;
-    let mut phone = Phone::new(20);
+    let mut phone = Iax2Endpoint::new(20);
     let new_call = phone.call(handsets, "17");
     phone.socket.set_read_timeout(Some(Duration::from_millis(50))).expect("a time-out");
     let mut tries = 0;
     while phone.socket.peek(&mut [0]).is_err() {
         tries += 1;
         assert!(tries < 160, "the address is free");
-        phone.put(&new_call);
+        phone.send_frame(&new_call);
     }
     phone.socket.set_read_timeout(Some(Duration::from_secs(8))).expect("a time-out");
-    let handset = at_new.next().expect("a set-up").text("uid");
+    let handset = at_new.receive().expect("a set-up").text("uid");
     at_new.send(&format!(r#"{{"kind":"running","uid":"{handset}","meta":{{}},"body":""}}"#));
     phone.expect(FrameType::Iax, iax::ACCEPT);
     set_up(&mut caller, &mut at_new, "00000000000000b2");
-    assert_eq!(ask(new.door, "GET /ops/readiness").0, 200);
+    assert_eq!(operator_request(new.operator_address, "GET /ops/readiness").0, 200);
     // The next one finds it, and it serves on when that dies.
     let next = Program::start(&listener, &folder.0).ready();
-    let _at_next = at_old.another();
+    let _at_next = at_old.accept_another();
     drop(next);
-    let mut again = Lines::connect(address);
+    let mut again = JsonLinesConn::connect(address);
     set_up(&mut again, &mut at_new, "00000000000000b3");
 }
 
@@ -398,10 +401,10 @@
 fn a_place_that_is_stale_or_full_of_nonsense_makes_a_start_like_any_other() {
     let (listener, folder, exchange, _resolver) = stage("stale");
     let address = listener.local_addr().expect("an address");
-    let place = handover::meeting_place(&folder.0, address);
+    let place = handover::socket_path(&folder.0, address);
     let mut listener_of_nonsense = Some(UnixListener::bind(&place).expect("a place"));
     let mut exchange = Some(exchange);
-    let mut lines: Option<Lines> = None;
+    let mut lines: Option<JsonLinesConn> = None;
     for round in 0..3 {
         let nonsense = listener_of_nonsense.take().filter(|_| round == 0).map(|listener| {
             std::thread::spawn(move || {
@@ -418,12 +421,12 @@
         let mut at = match (exchange.take(), lines.take()) {
             (Some(exchange), _) => exchange.accept(),
             (None, Some(mut lines)) => {
-                lines.accept_again();
+                lines.accept_next();
                 lines
             }
             (None, None) => unreachable!("one of them is there"),
         };
-        let mut caller = Lines::connect(address);
+        let mut caller = JsonLinesConn::connect(address);
         set_up(&mut caller, &mut at, "00000000000000c1");
         if let Some(nonsense) = nonsense {
             nonsense.join().expect("it was asked");
--- a/tests/resolver.rs
+++ b/tests/resolver.rs
@@ -7,7 +7,7 @@
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
 use simple_dns::{CLASS, Name, Packet, ResourceRecord};
 use swiftlb::engine::ListEntry;
-use swiftlb::net::dns::{self, Source};
+use swiftlb::net::dns::{self, ListSource};
 
 /// Nothing that is waited for takes this long.
 const PATIENCE: Duration = Duration::from_secs(8);
@@ -21,8 +21,8 @@
         Self(socket)
     }
 
-    fn source(&self) -> Source {
-        Source { resolver: self.0.local_addr().expect("an address"), zones: vec!["wien".to_owned()] }
+    fn source(&self) -> ListSource {
+        ListSource { resolver: self.0.local_addr().expect("an address"), zones: vec!["wien".to_owned()] }
     }
 
     /// Waits for a query: its id and who asks.
@@ -65,8 +65,12 @@
 
 #[test]
 fn serials_count_round() {
-    assert!(dns::is_later(2, 1) && dns::is_later(0, u32::MAX) && dns::is_later(5, u32::MAX - 5));
-    assert!(!dns::is_later(1, 1) && !dns::is_later(1, 2) && !dns::is_later(u32::MAX, 0));
+    assert!(
+        dns::is_newer_serial(2, 1)
+            && dns::is_newer_serial(0, u32::MAX)
+            && dns::is_newer_serial(5, u32::MAX - 5)
+    );
+    assert!(!dns::is_newer_serial(1, 1) && !dns::is_newer_serial(1, 2) && !dns::is_newer_serial(u32::MAX, 0));
 }
 
 #[test]
@@ -75,8 +79,9 @@
     let (told, lists) = bounded(16);
     let (mover, moves) = bounded(1);
     let source = first.source();
-    let follow =
-        move || dns::follow(source, 5, 1, &moves, |_, list| list.is_none_or(|list| told.send(list).is_ok()));
+    let follow = move || {
+        dns::follow_list(source, 5, 1, &moves, |_, list| list.is_none_or(|list| told.send(list).is_ok()))
+    };
     std::thread::spawn(follow);
     let late = first.query();
     let second_query = first.query();
