--- a/crates/report/examples/hour.rs
+++ b/crates/report/examples/hour.rs
@@ -7,16 +7,17 @@
 //!
 //! Usually one hour at 61 calls a second; 12,000 s at 140 a second are some 10 million records.
 
-#[path = "../../../tests/common/draw.rs"]
-mod draw;
+#[path = "../../../tests/common/rng.rs"]
+mod rng;
 
 use std::fs::File;
 use std::io::BufWriter;
 use std::path::PathBuf;
 
-use draw::Draw;
+use rng::SplitMix64;
 use swiftlb_record::{
-    CallUid, ConnectionChange, Event, FileWriter, Front, Head, ListedReadiness, Record, ReleasedBy, file_name,
+    CallUid, ConnectionChange, Event, FileHeader, FileWriter, Front, ListedReadiness, Record, ReleasedBy,
+    file_name,
 };
 
 const NODES: u64 = 7;
@@ -29,10 +30,10 @@
     let seconds = number(words.next(), 3_600);
     let rate = number(words.next(), 61);
     std::fs::create_dir_all(&folder)?;
-    let mut draw = Draw(1);
+    let mut draw = SplitMix64(1);
     let mut files = Vec::new();
     for node in 0..NODES {
-        let head = Head::of(&format!("n{node}"), node as u32, START);
+        let head = FileHeader::first_of_run(&format!("n{node}"), node as u32, START);
         files.push(FileWriter::create(BufWriter::new(File::create(folder.join(file_name(&head)))?), &head)?);
     }
     // Records wait here until their second is over, so that each file is in order.
@@ -70,7 +71,7 @@
             };
             let attempt =
                 |to: u64| Event::Attempt { call, attempt: 1, exchange: to as u32, awaits_connection: false };
-            let group = |draw: &mut Draw, to: u64| Event::Group {
+            let group = |draw: &mut SplitMix64, to: u64| Event::Group {
                 exchange: to as u32,
                 free: 20 + draw.below(60) as u32,
                 total: 137,
@@ -117,7 +118,7 @@
     for (node, mut file) in files.into_iter().enumerate() {
         file.push(&Record { at_us: START + seconds * 1_000_000, event: Event::Stopped })?;
         file.flush()?;
-        bytes += file.written();
+        bytes += file.written_bytes();
         let _ = (node, file.finish()?);
     }
     println!("{written} records, {bytes} bytes, {:.1} bytes a call", bytes as f64 / (seconds * rate) as f64);
