--- a/crates/record/src/archive.rs
+++ b/crates/record/src/archive.rs
@@ -1,4 +1,4 @@
-//! The files of a folder: which softswitch and which of its runs each belongs to, and what is wrong with some.
+//! The record files of directories, grouped by softswitch and run, and the errors of files that cannot be used.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -11,55 +11,55 @@
 use crate::read::FileReader;
 use crate::retention::parse_file_name;
 
-/// A file that cannot be used; the others can.
+/// Error of a record file or directory that cannot be used. It does not affect the other files.
 #[derive(Debug, Error)]
 #[error("{}: {error}", path.display())]
 pub struct FileError {
-    /// The file.
+    /// Path of the file or directory.
     pub path: PathBuf,
-    /// What is wrong.
+    /// Why it cannot be used.
     pub error: io::Error,
 }
 
 impl FileError {
-    /// What is wrong with its form, if that is it.
+    /// The format error, if the file was readable but its format is wrong.
     pub fn format_error(&self) -> Option<&FormatError> {
         self.error.get_ref().and_then(|error| error.downcast_ref())
     }
 }
 
-/// One process's life: its files in order.
+/// The records of one process of a softswitch, from its start to its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
     /// Name of the softswitch.
     pub softswitch: String,
-    /// Number of its own exchange, if a head says.
+    /// Number of its home exchange, if a file header gives it.
     pub home: Option<u32>,
-    /// When its process started, in Unix microseconds by its own clock.
+    /// When the process started, in Unix microseconds by its own clock.
     pub started_us: u64,
-    /// Its files.
+    /// Its files, in order.
     pub files: Vec<PathBuf>,
 }
 
-/// What was found of a run: the number of its exchange, its files by number.
-type Found = (Option<u32>, Vec<(u32, PathBuf)>);
+/// A run while files are collected: the number of its home exchange, and its files with their numbers.
+type RunFiles = (Option<u32>, Vec<(u32, PathBuf)>);
 
-/// All runs that were found, by softswitch and start.
+/// All runs in a set of files, sorted by softswitch and start.
 #[derive(Debug, Default)]
 pub struct Archive {
     /// The runs.
     pub runs: Vec<Run>,
-    /// Files that cannot be used.
+    /// Errors of the files and directories that cannot be used.
     pub file_errors: Vec<FileError>,
 }
 
 impl Archive {
-    /// Looks through these files and folders (not through folders within them). What cannot be used is told in
-    /// `troubles`.
+    /// Collects the record files among these files and directories, without subdirectories. Those that cannot be used
+    /// are reported in `file_errors`.
     pub fn open(paths: &[PathBuf]) -> Self {
         let (mut files, mut file_errors) = (Vec::new(), Vec::new());
         for path in paths {
-            let found = if path.is_dir() { record_files(path) } else { Ok(vec![path.clone()]) };
+            let found = if path.is_dir() { list_record_files(path) } else { Ok(vec![path.clone()]) };
             match found {
                 Ok(found) => files.extend(found),
                 Err(error) => file_errors.push(FileError { path: path.clone(), error }),
@@ -67,13 +67,13 @@
         }
         files.sort();
         files.dedup();
-        let mut runs: BTreeMap<(String, u64), Found> = BTreeMap::new();
+        let mut runs: BTreeMap<(String, u64), RunFiles> = BTreeMap::new();
         for path in files {
-            match head_of(&path) {
-                Ok(head) => {
-                    let (home, files) = runs.entry((head.softswitch, head.run_started_us)).or_default();
-                    *home = home.or(head.home);
-                    files.push((head.file_number, path));
+            match read_header(&path) {
+                Ok(header) => {
+                    let (home, files) = runs.entry((header.softswitch, header.run_started_us)).or_default();
+                    *home = home.or(header.home);
+                    files.push((header.file_number, path));
                 }
                 Err(error) => file_errors.push(FileError { path, error }),
             }
@@ -93,9 +93,9 @@
     }
 }
 
-fn record_files(folder: &Path) -> io::Result<Vec<PathBuf>> {
+fn list_record_files(directory: &Path) -> io::Result<Vec<PathBuf>> {
     let mut files = Vec::new();
-    for entry in std::fs::read_dir(folder)? {
+    for entry in std::fs::read_dir(directory)? {
         let entry = entry?;
         if entry.file_name().to_str().and_then(parse_file_name).is_some() {
             files.push(entry.path());
@@ -104,15 +104,15 @@
     Ok(files)
 }
 
-/// Whose file it is: by its head, or by its name where the head is damaged.
-fn head_of(path: &Path) -> io::Result<FileHeader> {
+/// Header of a file; if it is corrupt, the fields that the file name contains.
+fn read_header(path: &Path) -> io::Result<FileHeader> {
     let reader = FileReader::open(BufReader::new(File::open(path)?))?;
-    let named = || path.file_name()?.to_str().and_then(parse_file_name);
-    let nobody = || {
+    let from_name = || path.file_name()?.to_str().and_then(parse_file_name);
+    let no_header = || {
         io::Error::new(
             io::ErrorKind::InvalidData,
             "its head is damaged and its name does not say whose it is",
         )
     };
-    reader.header().cloned().or_else(named).ok_or_else(nobody)
+    reader.header().cloned().or_else(from_name).ok_or_else(no_header)
 }
--- a/crates/record/src/event.rs
+++ b/crates/record/src/event.rs
@@ -1,4 +1,4 @@
-//! Events that a softswitch records: its inputs and decisions, without descriptions and numbers called.
+//! Events that a softswitch records: its inputs and decisions, without call descriptions and called numbers.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallUid(#[serde(with = "postcard::fixint::le")] pub u64);
 
-/// An event and its time.
+/// An event with its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// Unix time in microseconds by the clock of the softswitch, which may be wrong.
@@ -133,7 +133,7 @@
         exchange: u32,
         /// Its name, which is kept when its processor restarts and changes when the exchange is replaced.
         name: String,
-        /// Its zone, only compared.
+        /// Its zone, which is only compared with other zones.
         zone: u16,
         /// Whether it accepts calls.
         readiness: ListedReadiness,
@@ -243,7 +243,7 @@
 pub enum RefusalReason {
     /// Before any attempt: too few free circuits known toward its exchange, and no tandem chosen.
     NoCircuit,
-    /// Before any attempt although circuits were free: its exchange is avoided or too slow, or the softswitch sheds.
+    /// Before any attempt, although circuits were free: its exchange is avoided or too slow, or the softswitch sheds.
     Shed,
     /// After an attempt with this outcome and reason.
     AfterAttempt(AttemptOutcome, AttemptReason),
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -1,10 +1,11 @@
-//! Records of calls and decisions: what a softswitch writes while it serves, and how it is read again.
+//! Records of calls and decisions: a softswitch writes them while it serves, reports and consoles read them later.
 //!
 //! ```
-//! use swiftlb_record::{Event, FileReader, FileWriter, FileHeader, Item, Record};
+//! use swiftlb_record::{Event, FileHeader, FileReader, FileWriter, Item, Record};
 //! use std::io::Cursor;
 //!
-//! let mut writer = FileWriter::create(Vec::new(), &FileHeader::first_of_run("n0", 0, 1_700_000_000_000_000))?;
+//! let header = FileHeader::first_of_run("n0", 0, 1_700_000_000_000_000);
+//! let mut writer = FileWriter::create(Vec::new(), &header)?;
 //! writer.push(&Record { at_us: 1_700_000_000_000_250, event: Event::Stopping })?;
 //! let file = writer.finish()?;
 //!
@@ -17,8 +18,9 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 //!
-//! [`Recorder`] is the writing side of a program that must never wait for a disk. [`Archive`] finds the files of a
-//! folder and tells which softswitch and which of its runs each belongs to.
+//! [`Recorder`] writes records without ever making its caller wait for the disk. [`Archive`] finds the record files of
+//! a directory and groups them by softswitch and run. [`merge`] merges the records of several softswitches into one
+//! timeline, with their clocks corrected by [`clocks`].
 
 mod archive;
 pub mod clocks;
--- a/crates/record/src/read.rs
+++ b/crates/record/src/read.rs
@@ -1,305 +1,312 @@
-//! Reading one file, whatever has become of it.
+//! Reader of a record file, which may be damaged, incomplete or still being written.
 
 use std::io::{self, ErrorKind, Read, Seek, SeekFrom};
 
 use crate::event::Record;
 use crate::format::{
-    self, BLOCK_HEAD, BlockHeader, BlockKind, FORMAT_VERSION, FileHeader, FormatError, LARGEST_BODY, MAGIC,
-    MARK, PREFIX, Place, TAIL, TAIL_LEN,
+    self, BLOCK_HEADER_BYTES, BLOCK_MARKER, BlockHeader, BlockKind, FILE_PREFIX_BYTES, FORMAT_VERSION,
+    FileHeader, FormatError, IndexEntry, MAGIC, MAX_BODY_BYTES, TRAILER_BYTES, TRAILER_MAGIC,
 };
 
-/// What was wrong where records are missing.
+/// Kind of damage that made records unreadable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Damage {
-    /// The file ends in the middle of a block: the program was killed, or writes it just now.
+    /// The file ends within a block: the program was killed, or is still writing it.
     Cut,
-    /// Bytes that are no block.
+    /// Bytes that do not form a block with a valid header.
     Head,
-    /// A block whose body is not the one that was written.
+    /// A block whose body does not match its checksum or cannot be decoded.
     Body,
 }
 
-/// A place of a file where records are missing.
+/// A damaged part of a file, where records are missing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gap {
-    /// Where it begins in the file, in bytes.
+    /// Offset in the file, in bytes.
     pub offset: u64,
-    /// How long it is, in bytes.
+    /// Length in bytes.
     pub bytes: u64,
-    /// What was wrong.
+    /// Kind of the first damage in it.
     pub damage: Damage,
-    /// Records that are missing, if that is known.
+    /// Number of missing records, if known.
     pub lost_records: Option<u32>,
-    /// Time of the last record before it and of the first after it, in Unix microseconds, where there are such.
+    /// Times of the last record before it and the first record after it, in Unix microseconds, if there are any.
     pub between_us: (Option<u64>, Option<u64>),
 }
 
-/// A whole block.
+/// An undamaged block.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Block {
-    /// Its head.
+    /// Its header.
     pub header: BlockHeader,
     /// Its records.
     pub records: Vec<Record>,
-    /// Records in it that this program does not know.
+    /// Number of records in it of kinds that this program does not know.
     pub unknown_records: u32,
 }
 
-/// What comes next in a file.
+/// An item read from a file.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Item {
-    /// A block of records or of context.
+    /// A block of records or context.
     Block(Block),
-    /// A place where records are missing. Its later time is that of the block that follows.
+    /// A damaged part. The later time in [`Gap::between_us`] is that of the block that follows.
     Gap(Gap),
 }
 
-/// Reads one file.
+/// Reads one record file.
 #[derive(Debug)]
 pub struct FileReader<R> {
-    from: R,
+    source: R,
     length: u64,
-    at: u64,
-    head: Option<FileHeader>,
+    offset: u64,
+    header: Option<FileHeader>,
     last_us: Option<u64>,
-    /// A gap that is told once the block behind it is known, and that block.
+    /// A gap is returned when the block that follows it is known; that block is returned next.
     gap: Option<Gap>,
     block: Option<Block>,
-    /// Where a block was not whole at the end.
-    cut_at: Option<u64>,
-    /// Blocks that lie wholly before or after these times are passed over.
-    window_us: (u64, u64),
+    /// Offset of an incomplete block at the end of the file.
+    incomplete_at: Option<u64>,
+    /// Record blocks entirely outside this time range are skipped.
+    time_range_us: (u64, u64),
 }
 
-/// Reads as many bytes as there are, up to the length of the buffer.
-fn fill(from: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
-    let mut got = 0;
-    while got < buffer.len() {
-        match from.read(&mut buffer[got..]) {
+/// Reads until the buffer is full or the end of the file is reached; returns the number of bytes read.
+fn read_up_to(source: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
+    let mut read_bytes = 0;
+    while read_bytes < buffer.len() {
+        match source.read(&mut buffer[read_bytes..]) {
             Ok(0) => break,
-            Ok(length) => got += length,
+            Ok(length) => read_bytes += length,
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(error) => return Err(error),
         }
     }
-    Ok(got)
+    Ok(read_bytes)
 }
 
 impl<R: Read + Seek> FileReader<R> {
     /// Opens a file.
     ///
     /// # Errors
-    /// If it is empty, no record file, or of a version not known ([`FormatError`] inside), or cannot be read at all.
-    /// A damaged head is no error: [`FileReader::header`] is then `None`, and the blocks behind it are read.
-    pub fn open(mut from: R) -> io::Result<Self> {
-        let length = from.seek(SeekFrom::End(0))?;
-        from.seek(SeekFrom::Start(0))?;
-        let mut prefix = [0; PREFIX];
-        let got = fill(&mut from, &mut prefix)?;
-        let wrong = |error: FormatError| Err(io::Error::new(ErrorKind::InvalidData, error));
-        match (got, prefix.split_at(MAGIC.len())) {
-            (0, _) => return wrong(FormatError::Empty),
-            (PREFIX, (magic, [1..=FORMAT_VERSION])) if magic == MAGIC => {}
-            (PREFIX, (magic, [version])) if magic == MAGIC => {
-                return wrong(FormatError::UnsupportedVersion(*version));
+    /// If the file is empty, not a record file or of an unsupported version (the error contains a [`FormatError`]), or
+    /// if reading fails. A corrupt file header is not an error: [`FileReader::header`] is then `None`, and the blocks
+    /// after it are read.
+    pub fn open(mut source: R) -> io::Result<Self> {
+        let length = source.seek(SeekFrom::End(0))?;
+        source.seek(SeekFrom::Start(0))?;
+        let mut prefix = [0; FILE_PREFIX_BYTES];
+        let read_bytes = read_up_to(&mut source, &mut prefix)?;
+        let invalid = |error: FormatError| Err(io::Error::new(ErrorKind::InvalidData, error));
+        match (read_bytes, prefix.split_at(MAGIC.len())) {
+            (0, _) => return invalid(FormatError::Empty),
+            (FILE_PREFIX_BYTES, (magic, [1..=FORMAT_VERSION])) if magic == MAGIC => {}
+            (FILE_PREFIX_BYTES, (magic, [version])) if magic == MAGIC => {
+                return invalid(FormatError::UnsupportedVersion(*version));
             }
-            _ => return wrong(FormatError::NotRecordFile),
+            _ => return invalid(FormatError::NotRecordFile),
         }
-        let window_us = (0, u64::MAX);
-        let (at, head, last_us, gap, block) = (PREFIX as u64, None, None, None, None);
-        let mut reader = Self { from, length, at, head, last_us, gap, block, cut_at: None, window_us };
-        if let Some((head, body)) = reader.whole_block()?
-            && head.kind == BlockKind::FileHeader
+        let time_range_us = (0, u64::MAX);
+        let (offset, header, last_us, gap, block) = (FILE_PREFIX_BYTES as u64, None, None, None, None);
+        let mut reader =
+            Self { source, length, offset, header, last_us, gap, block, incomplete_at: None, time_range_us };
+        if let Some((header, body)) = reader.read_block()?
+            && header.kind == BlockKind::FileHeader
         {
-            reader.head =
-                format::open_body(&head, &body).ok().and_then(|raw| postcard::from_bytes(&raw).ok());
-            reader.at += (BLOCK_HEAD + body.len()) as u64;
+            reader.header =
+                format::decompress_body(&header, &body).ok().and_then(|raw| postcard::from_bytes(&raw).ok());
+            reader.offset += (BLOCK_HEADER_BYTES + body.len()) as u64;
         }
         Ok(reader)
     }
 
-    /// Whose records these are; `None` if that part is damaged.
+    /// The file header; `None` if it is corrupt.
     pub fn header(&self) -> Option<&FileHeader> {
-        self.head.as_ref()
+        self.header.as_ref()
     }
 
-    /// Passes over blocks that lie wholly outside these times (Unix microseconds, both included) and begins at the
-    /// first that does not. Context is never passed over.
+    /// Skips record blocks entirely outside this time range (Unix microseconds, both ends included). If the file has an
+    /// index, continues at the first block in the range. Context blocks are never skipped.
     ///
     /// # Errors
-    /// Of the system.
+    /// If reading fails.
     pub fn select_time_range(&mut self, from_us: u64, to_us: u64) -> io::Result<()> {
-        self.window_us = (from_us, to_us);
-        let Some(places) = self.index()? else { return Ok(()) };
-        let first = places.iter().find(|place| place.last_us >= from_us);
-        // Context stands before the first block of records and is still wanted.
-        let Some(begin) = places.first().map(|place| place.at) else { return Ok(()) };
-        if self.at >= begin {
-            self.at = first.map_or(self.length, |place| place.at).max(self.at);
+        self.time_range_us = (from_us, to_us);
+        let Some(entries) = self.read_index()? else { return Ok(()) };
+        let first = entries.iter().find(|entry| entry.last_us >= from_us);
+        // Context precedes the first block of records and must still be read.
+        let Some(records_begin) = entries.first().map(|entry| entry.offset) else { return Ok(()) };
+        if self.offset >= records_begin {
+            self.offset = first.map_or(self.length, |entry| entry.offset).max(self.offset);
         }
         Ok(())
     }
 
-    /// Time of the first and of the last record, without reading bodies where the file was closed in good order.
+    /// Times of the first and the last record, from the index or from the block headers; bodies are not read.
     ///
     /// # Errors
-    /// Of the system.
+    /// If reading fails.
     pub fn time_range(&mut self) -> io::Result<Option<(u64, u64)>> {
-        let places = self.places()?;
-        let first = places.iter().map(|place| place.first_us).min();
-        Ok(first.zip(places.iter().map(|place| place.last_us).max()))
+        let entries = self.record_blocks()?;
+        let first = entries.iter().map(|entry| entry.first_us).min();
+        Ok(first.zip(entries.iter().map(|entry| entry.last_us).max()))
     }
 
-    /// Records in the blocks whose heads are whole.
+    /// Number of records in all blocks with valid headers.
     ///
     /// # Errors
-    /// Of the system.
+    /// If reading fails.
     pub fn record_count(&mut self) -> io::Result<u64> {
-        Ok(self.places()?.iter().map(|place| u64::from(place.count)).sum())
+        Ok(self.record_blocks()?.iter().map(|entry| u64::from(entry.record_count)).sum())
     }
 
-    /// The blocks of records: from the index, or else by walking the heads.
-    fn places(&mut self) -> io::Result<Vec<Place>> {
-        if let Some(places) = self.index()? {
-            return Ok(places);
+    /// The blocks of records, from the index or else from the block headers.
+    fn record_blocks(&mut self) -> io::Result<Vec<IndexEntry>> {
+        if let Some(entries) = self.read_index()? {
+            return Ok(entries);
         }
-        let at = std::mem::replace(&mut self.at, PREFIX as u64);
-        let mut places = Vec::new();
-        while let Some(head) = self.next_head()? {
-            if head.kind == BlockKind::Records {
-                let BlockHeader { record_count: count, first_us, last_us, .. } = head;
-                places.push(Place { at: self.at, count, first_us, last_us });
+        let saved_offset = std::mem::replace(&mut self.offset, FILE_PREFIX_BYTES as u64);
+        let mut entries = Vec::new();
+        while let Some(header) = self.next_header()? {
+            if header.kind == BlockKind::Records {
+                let BlockHeader { record_count, first_us, last_us, .. } = header;
+                entries.push(IndexEntry { offset: self.offset, record_count, first_us, last_us });
             }
-            self.at += BLOCK_HEAD as u64 + u64::from(head.body_bytes);
+            self.offset += BLOCK_HEADER_BYTES as u64 + u64::from(header.body_bytes);
         }
-        self.at = at;
-        Ok(places)
+        self.offset = saved_offset;
+        Ok(entries)
     }
 
-    /// The index at the end of a file that was closed in good order.
-    fn index(&mut self) -> io::Result<Option<Vec<Place>>> {
-        if self.length < (PREFIX + BLOCK_HEAD + TAIL_LEN) as u64 {
+    /// The index at the end of a file that was closed cleanly.
+    fn read_index(&mut self) -> io::Result<Option<Vec<IndexEntry>>> {
+        if self.length < (FILE_PREFIX_BYTES + BLOCK_HEADER_BYTES + TRAILER_BYTES) as u64 {
             return Ok(None);
         }
-        let mut tail = [0; TAIL_LEN];
-        self.from.seek(SeekFrom::Start(self.length - TAIL_LEN as u64))?;
-        if fill(&mut self.from, &mut tail)? < TAIL_LEN || tail[8..] != TAIL {
+        let mut trailer = [0; TRAILER_BYTES];
+        self.source.seek(SeekFrom::Start(self.length - TRAILER_BYTES as u64))?;
+        if read_up_to(&mut self.source, &mut trailer)? < TRAILER_BYTES || trailer[8..] != TRAILER_MAGIC {
             return Ok(None);
         }
-        let place =
-            u64::from_le_bytes([tail[0], tail[1], tail[2], tail[3], tail[4], tail[5], tail[6], tail[7]]);
-        let at = std::mem::replace(&mut self.at, place);
-        let block = self.whole_block()?.filter(|(head, _)| head.kind == BlockKind::Index);
-        self.at = at;
-        let raw = block.and_then(|(head, body)| format::open_body(&head, &body).ok());
+        let index_offset = u64::from_le_bytes([
+            trailer[0], trailer[1], trailer[2], trailer[3], trailer[4], trailer[5], trailer[6], trailer[7],
+        ]);
+        let saved_offset = std::mem::replace(&mut self.offset, index_offset);
+        let block = self.read_block()?.filter(|(header, _)| header.kind == BlockKind::Index);
+        self.offset = saved_offset;
+        let raw = block.and_then(|(header, body)| format::decompress_body(&header, &body).ok());
         Ok(raw.and_then(|raw| postcard::from_bytes(&raw).ok()))
     }
 
-    /// The head at the present place.
-    fn head_here(&mut self) -> io::Result<Option<BlockHeader>> {
-        let mut bytes = [0; BLOCK_HEAD];
-        self.from.seek(SeekFrom::Start(self.at))?;
-        let got = fill(&mut self.from, &mut bytes)?;
-        Ok((got == BLOCK_HEAD).then(|| BlockHeader::read(&bytes)).flatten())
+    /// The block header at the current offset.
+    fn read_header(&mut self) -> io::Result<Option<BlockHeader>> {
+        let mut bytes = [0; BLOCK_HEADER_BYTES];
+        self.source.seek(SeekFrom::Start(self.offset))?;
+        let read_bytes = read_up_to(&mut self.source, &mut bytes)?;
+        Ok((read_bytes == BLOCK_HEADER_BYTES).then(|| BlockHeader::from_bytes(&bytes)).flatten())
     }
 
-    /// Moves to the next head that is whole, from the present place on.
-    fn next_head(&mut self) -> io::Result<Option<BlockHeader>> {
+    /// Advances to the next valid block header, which may be at the current offset.
+    fn next_header(&mut self) -> io::Result<Option<BlockHeader>> {
         loop {
-            if let Some(head) = self.head_here()? {
-                return Ok(Some(head));
+            if let Some(header) = self.read_header()? {
+                return Ok(Some(header));
             }
-            let Some(mark) = self.find_mark(self.at + 1)? else { return Ok(None) };
-            self.at = mark;
+            let Some(marker) = self.find_marker(self.offset + 1)? else { return Ok(None) };
+            self.offset = marker;
         }
     }
 
-    /// The next place from here on where a head may begin.
-    fn find_mark(&mut self, from: u64) -> io::Result<Option<u64>> {
+    /// Offset of the next block marker at or after `from`.
+    fn find_marker(&mut self, from: u64) -> io::Result<Option<u64>> {
         let mut at = from;
         let mut buffer = [0; 16 << 10];
         loop {
-            self.from.seek(SeekFrom::Start(at))?;
-            let got = fill(&mut self.from, &mut buffer)?;
-            if let Some(found) = buffer[..got].windows(MARK.len()).position(|word| word == MARK) {
-                return Ok(Some(at + found as u64));
+            self.source.seek(SeekFrom::Start(at))?;
+            let read_bytes = read_up_to(&mut self.source, &mut buffer)?;
+            if let Some(position) =
+                buffer[..read_bytes].windows(BLOCK_MARKER.len()).position(|bytes| bytes == BLOCK_MARKER)
+            {
+                return Ok(Some(at + position as u64));
             }
-            if got < buffer.len() {
+            if read_bytes < buffer.len() {
                 return Ok(None);
             }
-            at += (got - MARK.len() + 1) as u64;
+            at += (read_bytes - BLOCK_MARKER.len() + 1) as u64;
         }
     }
 
-    /// FileHeader and body at the present place, if both are whole.
-    fn whole_block(&mut self) -> io::Result<Option<(BlockHeader, Vec<u8>)>> {
-        let Some(head) = self.head_here()? else { return Ok(None) };
-        Ok(self.body_of(&head)?.map(|body| (head, body)))
+    /// Header and body of the block at the current offset, if both match their checksums.
+    fn read_block(&mut self) -> io::Result<Option<(BlockHeader, Vec<u8>)>> {
+        let Some(header) = self.read_header()? else { return Ok(None) };
+        Ok(self.read_body(&header)?.map(|body| (header, body)))
     }
 
-    /// The body behind a head at the present place. Its length was bounded when the head was read.
-    fn body_of(&mut self, head: &BlockHeader) -> io::Result<Option<Vec<u8>>> {
-        debug_assert!(head.body_bytes as usize <= LARGEST_BODY);
-        let mut body = vec![0; head.body_bytes as usize];
-        self.from.seek(SeekFrom::Start(self.at + BLOCK_HEAD as u64))?;
-        let whole =
-            fill(&mut self.from, &mut body)? == body.len() && crc32fast::hash(&body) == head.body_crc32;
-        Ok(whole.then_some(body))
+    /// The body of the block at the current offset, if it matches its checksum. The size limit was checked when the
+    /// header was decoded.
+    fn read_body(&mut self, header: &BlockHeader) -> io::Result<Option<Vec<u8>>> {
+        debug_assert!(header.body_bytes as usize <= MAX_BODY_BYTES);
+        let mut body = vec![0; header.body_bytes as usize];
+        self.source.seek(SeekFrom::Start(self.offset + BLOCK_HEADER_BYTES as u64))?;
+        let is_valid = read_up_to(&mut self.source, &mut body)? == body.len()
+            && crc32fast::hash(&body) == header.body_crc32;
+        Ok(is_valid.then_some(body))
     }
 
-    /// What comes next; `None` at the end. A file that is still being written may have more when asked again.
+    /// The next item; `None` at the end. For a file that is still being written, call [`FileReader::refresh`] to
+    /// continue.
     ///
     /// # Errors
-    /// Of the system.
+    /// If reading fails.
     pub fn next_item(&mut self) -> io::Result<Option<Item>> {
         if let Some(block) = self.block.take() {
             return Ok(Some(Item::Block(block)));
         }
         loop {
-            let begin = self.at;
-            let Some(head) = self.next_head()? else {
-                return Ok(self.end(begin));
+            let begin = self.offset;
+            let Some(header) = self.next_header()? else {
+                return Ok(self.finish_at_end(begin));
             };
-            if self.at > begin {
-                self.note_gap(begin, self.at - begin, Damage::Head, None);
+            if self.offset > begin {
+                self.extend_gap(begin, self.offset - begin, Damage::Head, None);
             }
-            let whole = BLOCK_HEAD as u64 + u64::from(head.body_bytes);
-            let wanted = head.kind == BlockKind::Context
-                || (head.kind == BlockKind::Records
-                    && head.last_us >= self.window_us.0
-                    && head.first_us <= self.window_us.1);
-            if !wanted {
-                if self.at + whole > self.length {
-                    return Ok(self.end(self.at));
+            let block_bytes = BLOCK_HEADER_BYTES as u64 + u64::from(header.body_bytes);
+            let is_selected = header.kind == BlockKind::Context
+                || (header.kind == BlockKind::Records
+                    && header.last_us >= self.time_range_us.0
+                    && header.first_us <= self.time_range_us.1);
+            if !is_selected {
+                if self.offset + block_bytes > self.length {
+                    return Ok(self.finish_at_end(self.offset));
                 }
-                self.at += whole;
-                if head.kind == BlockKind::Index {
-                    self.at += TAIL_LEN as u64;
+                self.offset += block_bytes;
+                if header.kind == BlockKind::Index {
+                    self.offset += TRAILER_BYTES as u64;
                 }
                 continue;
             }
-            if self.at + whole > self.length {
-                // Its body is not there: cut, unless the head is a stray one in the middle of damage.
-                return Ok(self.end(self.at));
+            if self.offset + block_bytes > self.length {
+                // The body is incomplete: the file was truncated, or this is a stray header within a damaged part.
+                return Ok(self.finish_at_end(self.offset));
             }
-            let body = self.body_of(&head)?;
-            let read = body.and_then(|body| {
-                let raw = format::open_body(&head, &body).ok()?;
-                format::take_records(&raw, head.first_us).ok()
+            let body = self.read_body(&header)?;
+            let decoded = body.and_then(|body| {
+                let raw = format::decompress_body(&header, &body).ok()?;
+                format::decode_records(&raw, header.first_us).ok()
             });
-            let Some((records, unknown)) = read else {
-                self.note_gap(self.at, whole, Damage::Body, Some(head.record_count));
-                self.at += whole;
+            let Some((records, unknown_records)) = decoded else {
+                self.extend_gap(self.offset, block_bytes, Damage::Body, Some(header.record_count));
+                self.offset += block_bytes;
                 continue;
             };
-            self.at += whole;
-            let block = Block { header: head, records, unknown_records: unknown };
-            let before = self.last_us;
-            if head.kind == BlockKind::Records {
-                self.last_us = Some(head.last_us);
+            self.offset += block_bytes;
+            let block = Block { header, records, unknown_records };
+            let last_before_us = self.last_us;
+            if header.kind == BlockKind::Records {
+                self.last_us = Some(header.last_us);
             }
             if let Some(mut gap) = self.gap.take() {
-                gap.between_us = (before, Some(head.first_us));
+                gap.between_us = (last_before_us, Some(header.first_us));
                 self.block = Some(block);
                 return Ok(Some(Item::Gap(gap)));
             }
@@ -307,37 +314,37 @@
         }
     }
 
-    /// Joins damage to a gap that is open.
-    fn note_gap(&mut self, at: u64, bytes: u64, damage: Damage, records: Option<u32>) {
+    /// Adds damage to the current gap, or starts a new one.
+    fn extend_gap(&mut self, offset: u64, bytes: u64, damage: Damage, lost_records: Option<u32>) {
         let between_us = (self.last_us, None);
-        let gap =
-            self.gap.get_or_insert(Gap { offset: at, bytes: 0, damage, lost_records: Some(0), between_us });
+        let gap = self.gap.get_or_insert(Gap { offset, bytes: 0, damage, lost_records: Some(0), between_us });
         gap.bytes += bytes;
-        gap.lost_records = gap.lost_records.zip(records).map(|(all, more)| all.saturating_add(more));
+        gap.lost_records = gap.lost_records.zip(lost_records).map(|(total, more)| total.saturating_add(more));
     }
 
-    /// The end has come; whatever lies behind this place is no whole block.
-    fn end(&mut self, begin: u64) -> Option<Item> {
-        let rest = self.length.saturating_sub(begin);
-        if rest > 0 {
-            self.note_gap(begin, rest, Damage::Cut, None);
-            self.cut_at = Some(begin);
+    /// Handles the end of the file. Any bytes from `begin` on do not form a complete block.
+    fn finish_at_end(&mut self, begin: u64) -> Option<Item> {
+        let remaining_bytes = self.length.saturating_sub(begin);
+        if remaining_bytes > 0 {
+            self.extend_gap(begin, remaining_bytes, Damage::Cut, None);
+            self.incomplete_at = Some(begin);
         }
-        self.at = self.length.max(begin);
+        self.offset = self.length.max(begin);
         self.gap.take().map(Item::Gap)
     }
 
-    /// Looks whether the file has grown, for reading it while it is written: goes on at the block that was not whole.
+    /// Checks whether the file has grown, for a file that is still being written. If it has, reading continues at the
+    /// block that was incomplete.
     ///
     /// # Errors
-    /// Of the system.
+    /// If reading fails.
     pub fn refresh(&mut self) -> io::Result<bool> {
-        let length = self.from.seek(SeekFrom::End(0))?;
-        let grown = length > self.length;
+        let length = self.source.seek(SeekFrom::End(0))?;
+        let has_grown = length > self.length;
         self.length = length;
-        if grown {
-            self.at = self.cut_at.take().unwrap_or(self.at);
+        if has_grown {
+            self.offset = self.incomplete_at.take().unwrap_or(self.offset);
         }
-        Ok(grown)
+        Ok(has_grown)
     }
 }
--- a/crates/record/src/recorder.rs
+++ b/crates/record/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Recording in a program that must never wait for a disk: a bounded queue, a thread that writes, files that rotate.
+//! Recording without blocking the caller on disk I/O: a bounded queue and a writer thread that rotates the files.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -17,26 +17,26 @@
 use crate::retention::{Retention, file_name};
 use crate::write::FileWriter;
 
-/// The writer looks at the queue this often. It is not woken: a wake-up for each record would cost the loop more than
-/// the record itself.
-const POLL: Duration = Duration::from_millis(50);
-/// A block that has begun is written after this time, full or not: what a crash can cost.
-const FLUSH: Duration = Duration::from_millis(500);
-/// Stack of the writer; the compressor keeps its state on the heap.
-const STACK: usize = 256 * 1024;
+/// Interval at which the writer thread polls the queue. A wake-up per record would cost the event loop more than the
+/// record itself.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// A block is written after this time even if it is not full, which limits what a crash can lose.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(500);
+/// A small stack is enough for the writer thread: the compressor keeps its state on the heap.
+const WRITER_STACK_BYTES: usize = 256 * 1024;
 
-/// How records are kept.
+/// Where records are written, and their limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecorderSettings {
-    /// DirectoryStorage for the files; it is made if it is not there.
+    /// Directory for the files; created if it does not exist.
     pub directory: PathBuf,
-    /// A file is closed once it has so many bytes.
+    /// Size at which a file is closed, in bytes.
     pub max_file_bytes: u64,
-    /// A file is closed once it is this old.
+    /// Age at which a file is closed.
     pub max_file_age: Duration,
-    /// All record files of the folder together may have so many bytes; the oldest go first.
+    /// Limit of the total size of all record files in the directory, in bytes; the oldest are removed first.
     pub budget_bytes: u64,
-    /// Records that may wait for the writer.
+    /// Capacity of the queue to the writer thread, in records.
     pub max_queued_records: usize,
 }
 
@@ -52,47 +52,47 @@
     }
 }
 
-/// Why nothing is recorded, or no longer.
+/// Why recording cannot start or has stopped.
 #[derive(Debug, Error)]
 pub enum RecorderError {
-    /// The folder or a file in it.
-    #[error("records in {}: {error}", place.display())]
+    /// The directory or a file in it failed.
+    #[error("records in {}: {error}", directory.display())]
     Storage {
-        /// The folder.
-        place: PathBuf,
-        /// The system's word.
+        /// The directory.
+        directory: PathBuf,
+        /// The I/O error.
         error: io::Error,
     },
-    /// The writer's thread cannot be had.
-    #[error("thread for records: {0}")]
+    /// The writer thread could not be started.
+    #[error("cannot start the thread that writes records: {0}")]
     Thread(io::Error),
 }
 
-/// Where files are kept.
+/// Storage for record files.
 pub trait Storage: Send + 'static {
-    /// A file that is being written.
+    /// A file open for writing.
     type File: Write + Send;
 
-    /// Makes a new file.
+    /// Creates a new file.
     ///
     /// # Errors
-    /// Of the system.
+    /// If the file exists or cannot be created.
     fn create(&mut self, name: &str) -> io::Result<Self::File>;
 
-    /// Names and sizes of all files.
+    /// Names and sizes in bytes of all files.
     ///
     /// # Errors
-    /// Of the system.
+    /// If the files cannot be listed.
     fn list(&mut self) -> io::Result<Vec<(String, u64)>>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// Of the system.
+    /// If the file cannot be removed.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// A folder of the system.
+/// A directory of the file system.
 #[derive(Clone, Debug)]
 pub struct DirectoryStorage(pub PathBuf);
 
@@ -121,142 +121,145 @@
     }
 }
 
-/// The order to end: records that were lost and not yet told, and when.
-type Order = (u64, u64);
+/// Request to stop: the number of lost records that is not yet recorded, and the time of the last record.
+type StopRequest = (u64, u64);
 
-/// The side of the program: hands records over and never waits.
+/// Hands records over to the writer thread and never blocks.
 #[derive(Debug)]
 pub struct Recorder {
     queue: Sender<Record>,
-    stop: Sender<Order>,
-    done: Receiver<()>,
-    failed: Arc<AtomicBool>,
-    /// Records that found no room since one last did.
-    lost: u64,
+    stop: Sender<StopRequest>,
+    finished: Receiver<()>,
+    has_failed: Arc<AtomicBool>,
+    /// Records lost since the last one that was queued.
+    lost_count: u64,
     last_us: u64,
 }
 
 impl Recorder {
-    /// Starts the writer with a first file, so that a folder that cannot be used shows at once. What ends it later on
-    /// is told to `trouble`, once.
+    /// Starts the writer thread. Creates the first file before it returns, so that an unusable directory is reported at
+    /// once. An error that ends recording later is passed to `on_error`, once.
     ///
     /// # Errors
-    /// If the first file or the thread cannot be had.
+    /// If the first file or the thread cannot be created.
     pub fn start(
         settings: RecorderSettings,
-        head: FileHeader,
-        trouble: impl Fn(&RecorderError) + Send + 'static,
+        header: FileHeader,
+        on_error: impl Fn(&RecorderError) + Send + 'static,
     ) -> Result<Self, RecorderError> {
-        let folder = DirectoryStorage(settings.directory.clone());
-        Self::start_with_storage(folder, settings, head, trouble)
+        let storage = DirectoryStorage(settings.directory.clone());
+        Self::start_with_storage(storage, settings, header, on_error)
     }
 
-    /// The same with a storage of another kind.
+    /// Like [`Recorder::start`], with another [`Storage`]. `settings.directory` only appears in error messages.
     ///
     /// # Errors
-    /// If the first file or the thread cannot be had.
+    /// If the first file or the thread cannot be created.
     pub fn start_with_storage<S: Storage>(
         storage: S,
         settings: RecorderSettings,
-        head: FileHeader,
-        trouble: impl Fn(&RecorderError) + Send + 'static,
+        header: FileHeader,
+        on_error: impl Fn(&RecorderError) + Send + 'static,
     ) -> Result<Self, RecorderError> {
-        let place = settings.directory.clone();
-        let failing = move |error| RecorderError::Storage { place: place.clone(), error };
+        let directory = settings.directory.clone();
+        let storage_error = move |error| RecorderError::Storage { directory: directory.clone(), error };
         let (queue, records) = bounded(settings.max_queued_records.max(1));
-        let (stop, stopping) = bounded(1);
-        let (ended, done) = bounded(1);
-        let failed = Arc::new(AtomicBool::new(false));
-        let last_us = head.run_started_us;
-        let mut writer = Writer::open(storage, settings, head).map_err(&failing)?;
-        let has_failed = failed.clone();
-        let work = move || {
-            if let Err(error) = writer.run(&records, &stopping) {
-                has_failed.store(true, Ordering::Relaxed);
-                trouble(&failing(error));
+        let (stop, stop_requests) = bounded(1);
+        let (finished_sender, finished) = bounded(1);
+        let has_failed = Arc::new(AtomicBool::new(false));
+        let last_us = header.run_started_us;
+        let mut writer = Writer::open(storage, settings, header).map_err(&storage_error)?;
+        let failure_flag = has_failed.clone();
+        let run_writer = move || {
+            if let Err(error) = writer.run(&records, &stop_requests) {
+                failure_flag.store(true, Ordering::Relaxed);
+                on_error(&storage_error(error));
             }
-            let _ = ended.send(());
+            let _ = finished_sender.send(());
         };
-        let builder = Builder::new().name("records".to_owned()).stack_size(STACK);
-        builder.spawn(work).map_err(RecorderError::Thread)?;
-        Ok(Self { queue, stop, done, failed, lost: 0, last_us })
+        let builder = Builder::new().name("records".to_owned()).stack_size(WRITER_STACK_BYTES);
+        builder.spawn(run_writer).map_err(RecorderError::Thread)?;
+        Ok(Self { queue, stop, finished, has_failed, lost_count: 0, last_us })
     }
 
-    /// Hands a record over. One that finds no room is lost, and so counted that the count is recorded in its place.
+    /// Queues a record. If the queue is full the record is lost, and the number of lost
+    /// records is recorded in their place.
     pub fn record(&mut self, record: Record) {
-        if self.failed.load(Ordering::Relaxed) {
+        if self.has_failed.load(Ordering::Relaxed) {
             return;
         }
         self.last_us = record.at_us;
-        if self.lost > 0 {
-            let told = Record { at_us: record.at_us, event: Event::RecordsLost { records: self.lost } };
-            if self.queue.try_send(told).is_err() {
-                self.lost += 1;
+        if self.lost_count > 0 {
+            let lost_records =
+                Record { at_us: record.at_us, event: Event::RecordsLost { records: self.lost_count } };
+            if self.queue.try_send(lost_records).is_err() {
+                self.lost_count += 1;
                 return;
             }
-            self.lost = 0;
+            self.lost_count = 0;
         }
         if let Err(TrySendError::Full(_)) = self.queue.try_send(record) {
-            self.lost += 1;
+            self.lost_count += 1;
         }
     }
 
-    /// Whether anything is still recorded.
+    /// Whether records are still written; `false` after an error.
     pub fn is_recording(&self) -> bool {
-        !self.failed.load(Ordering::Relaxed)
+        !self.has_failed.load(Ordering::Relaxed)
     }
 
-    /// Has what waits written and the file closed in good order, for this long at most. Returns whether it was.
-    pub fn stop(self, limit: Duration) -> bool {
-        let _ = self.stop.try_send((self.lost, self.last_us));
-        self.done.recv_timeout(limit).is_ok() && self.is_recording()
+    /// Writes all queued records and closes the file cleanly. Waits no longer than `timeout`; returns whether it has
+    /// succeeded by then.
+    pub fn stop(self, timeout: Duration) -> bool {
+        let _ = self.stop.try_send((self.lost_count, self.last_us));
+        self.finished.recv_timeout(timeout).is_ok() && self.is_recording()
     }
 }
 
-/// The side of the thread.
+/// State of the writer thread.
 struct Writer<S: Storage> {
     storage: S,
     settings: RecorderSettings,
-    head: FileHeader,
+    header: FileHeader,
     file: Option<FileWriter<S::File>>,
     opened: Instant,
     flushed: Instant,
-    /// What a reader of a later file needs of earlier ones.
+    /// Records of the current state, which are repeated at the start of each later file.
     context: BTreeMap<(u8, u32, String), Record>,
 }
 
 impl<S: Storage> Writer<S> {
-    fn open(mut storage: S, settings: RecorderSettings, head: FileHeader) -> io::Result<Self> {
-        let file = FileWriter::create(storage.create(&file_name(&head))?, &head)?;
+    fn open(mut storage: S, settings: RecorderSettings, header: FileHeader) -> io::Result<Self> {
+        let file = FileWriter::create(storage.create(&file_name(&header))?, &header)?;
         let now = Instant::now();
         let (file, context) = (Some(file), BTreeMap::new());
-        let mut writer = Self { storage, settings, head, file, opened: now, flushed: now, context };
-        writer.make_room()?;
+        let mut writer = Self { storage, settings, header, file, opened: now, flushed: now, context };
+        writer.enforce_budget()?;
         Ok(writer)
     }
 
-    fn run(&mut self, records: &Receiver<Record>, stopping: &Receiver<Order>) -> io::Result<()> {
+    fn run(&mut self, records: &Receiver<Record>, stop_requests: &Receiver<StopRequest>) -> io::Result<()> {
         loop {
-            // A sender that is gone without a word means the same as the order.
-            let order = match stopping.recv_timeout(POLL) {
-                Ok(order) => Some(order),
+            // A recorder that was dropped without a request stops the thread as well.
+            let stop_request = match stop_requests.recv_timeout(POLL_INTERVAL) {
+                Ok(stop_request) => Some(stop_request),
                 Err(error) => error.is_disconnected().then_some((0, 0)),
             };
-            // No more than were there: whoever records without end must not keep the file from its turn.
+            // At most one full queue: records that keep arriving must not delay flush and rotation indefinitely.
             for record in records.try_iter().take(self.settings.max_queued_records.max(1)) {
                 self.write(&record)?;
             }
-            if let Some((lost, at_us)) = order {
-                // Whatever was handed over before the order is in the queue by now.
+            if let Some((lost_count, at_us)) = stop_request {
+                // All records that precede the request are in the queue by now.
                 for record in records.try_iter() {
                     self.write(&record)?;
                 }
-                if lost > 0 {
-                    self.write(&Record { at_us, event: Event::RecordsLost { records: lost } })?;
+                if lost_count > 0 {
+                    self.write(&Record { at_us, event: Event::RecordsLost { records: lost_count } })?;
                 }
                 return self.file.take().map_or(Ok(()), |file| file.finish()?.flush());
             }
-            if self.flushed.elapsed() >= FLUSH {
+            if self.flushed.elapsed() >= FLUSH_INTERVAL {
                 self.flushed = Instant::now();
                 if let Some(file) = &mut self.file {
                     file.flush()?;
@@ -271,20 +274,21 @@
         if let Some(file) = &mut self.file {
             file.push(record)?;
         }
-        // Within a burst too: a file must not outgrow its size by all that waits. Its age is looked at between bursts.
+        // The size is checked after each record, so that a full queue cannot take the file far beyond its limit. The
+        // age is checked once per poll.
         let full = self.file.as_ref().is_some_and(|file| self.retention().is_full(file.written_bytes()));
         if full { self.rotate() } else { Ok(()) }
     }
 
     fn keep_context(&mut self, record: &Record) {
-        let none = String::new;
+        let no_name = String::new;
         let key = match &record.event {
-            Event::Started { .. } => (0, 0, none()),
-            Event::Classes(_) => (1, 0, none()),
+            Event::Started { .. } => (0, 0, no_name()),
+            Event::Classes(_) => (1, 0, no_name()),
             Event::Exchange { exchange, name, .. } => (2, *exchange, name.clone()),
-            Event::Group { exchange, .. } => (3, *exchange, none()),
-            Event::Avoidance { exchange, .. } => (4, *exchange, none()),
-            Event::Drain { .. } => (5, 0, none()),
+            Event::Group { exchange, .. } => (3, *exchange, no_name()),
+            Event::Avoidance { exchange, .. } => (4, *exchange, no_name()),
+            Event::Drain { .. } => (5, 0, no_name()),
             _ => return,
         };
         if matches!(&record.event, Event::Exchange { readiness: ListedReadiness::Removed, .. }) {
@@ -309,19 +313,19 @@
         if let Some(file) = self.file.take() {
             file.finish()?.flush()?;
         }
-        self.head.file_number += 1;
-        let mut file = FileWriter::create(self.storage.create(&file_name(&self.head))?, &self.head)?;
+        self.header.file_number += 1;
+        let mut file = FileWriter::create(self.storage.create(&file_name(&self.header))?, &self.header)?;
         file.write_context(self.context.values())?;
         self.file = Some(file);
         self.opened = Instant::now();
-        self.make_room()
+        self.enforce_budget()
     }
 
-    /// Removes old files until what is there and the file that has begun fit into the budget.
-    fn make_room(&mut self) -> io::Result<()> {
+    /// Removes old files until the others and the file just opened fit into the budget.
+    fn enforce_budget(&mut self) -> io::Result<()> {
         for name in self.retention().files_to_remove(&self.storage.list()?) {
             match self.storage.remove(&name) {
-                // Another softswitch that shares the folder was first.
+                // Another softswitch that shares the directory has already removed it.
                 Err(error) if error.kind() == io::ErrorKind::NotFound => {}
                 removed => removed?,
             }
