--- a/crates/record/src/format.rs
+++ b/crates/record/src/format.rs
@@ -172,7 +172,7 @@
 /// Compresses a raw body and encodes it as a block with its header.
 pub(crate) fn encode_block(
     kind: BlockKind,
-    count: u32,
+    record_count: u32,
     time_range_us: (u64, u64),
     raw: &[u8],
 ) -> Result<Vec<u8>, FormatError> {
@@ -180,7 +180,7 @@
     let body = compressed.map_err(|error| FormatError::Compression(error.to_string()))?;
     let header = BlockHeader {
         kind,
-        record_count: count,
+        record_count,
         body_bytes: body.len() as u32,
         raw_bytes: raw.len() as u32,
         first_us: time_range_us.0,
--- a/crates/record/src/merge.rs
+++ b/crates/record/src/merge.rs
@@ -1,5 +1,5 @@
-//! The records of several softswitches as one story: by corrected time, with causes before their effects, and in
-//! memory that does not grow with the number of records.
+//! Merges the records of several softswitches into one timeline: by corrected time, with causes before their effects.
+//! Memory use does not grow with the number of records.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
@@ -13,61 +13,62 @@
 use crate::format::BlockKind;
 use crate::read::{FileReader, Gap, Item};
 
-/// An effect waits so long, in microseconds of its own time, for a cause that may come from another softswitch. Corrected
-/// clocks keep to every bound but for what drift is allowed within a window and between two: 0.4 and 0.8 ms.
-const WAIT_US: u64 = 5_000;
-/// Steps in which it waits.
-const STEP_US: u64 = 500;
-/// Causes are remembered for this long.
-const REMEMBER_US: u64 = 30_000_000;
+/// An effect whose cause at another softswitch is not yet in the timeline is delayed by up to this much corrected time.
+/// Corrected clocks violate a bound only by the drift allowed within a window and between two windows: 0.4 and 0.8 ms.
+const MAX_EFFECT_DELAY_US: u64 = 5_000;
+/// Step in which an effect is delayed.
+const EFFECT_DELAY_STEP_US: u64 = 500;
+/// Causes are kept for this long.
+const CAUSE_RETENTION_US: u64 = 30_000_000;
 
-/// Something of one softswitch, by the common time.
+/// An entry of the merged timeline.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimelineEntry {
-    /// Corrected Unix time in microseconds; never less than that of what was told before.
+    /// Corrected Unix time in microseconds; never earlier than that of the entry before.
     pub at_us: u64,
-    /// Time by the softswitch's own clock.
+    /// Unix time in microseconds by the clock of the softswitch.
     pub local_us: u64,
-    /// Its place in [`Merge::softswitches`].
+    /// Index in [`Merge::softswitches`].
     pub softswitch: usize,
-    /// What.
+    /// The event, or what else the entry stands for.
     pub content: EntryContent,
 }
 
-/// What is told.
+/// Content of a [`TimelineEntry`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum EntryContent {
-    /// An event that was recorded.
+    /// A recorded event.
     Event(Event),
-    /// A state that was still valid when the records begin: the event that led to it is in no file any more.
+    /// An event before the first records that describes the state at their beginning. The file that it was recorded in
+    /// has been removed.
     Context(Event),
     /// Records are missing here.
     Gap(Gap),
-    /// The records of a process end here; whether it ended in good order.
+    /// The records of a process end here.
     RunEnded {
-        /// It said that it stops.
+        /// Whether the process recorded that it stopped.
         clean: bool,
     },
 }
 
-/// One process's files, read block by block.
-struct Stream {
+/// Reads the files of one run, block by block.
+struct RunReader {
     softswitch: usize,
     files: VecDeque<PathBuf>,
     reader: Option<FileReader<BufReader<File>>>,
-    waiting: VecDeque<(u64, EntryContent)>,
-    window_us: (u64, u64),
+    buffered: VecDeque<(u64, EntryContent)>,
+    time_range_us: (u64, u64),
     last_us: u64,
-    /// Context counts in the first file alone: later files repeat what was told.
-    first_file: bool,
+    /// Context blocks are used from the first file only: those of later files repeat events that were already read.
+    in_first_file: bool,
     stopped: bool,
     ended: bool,
 }
 
-impl Stream {
+impl RunReader {
     fn next(&mut self, file_errors: &mut Vec<FileError>) -> Option<(u64, EntryContent)> {
         loop {
-            if let Some(next) = self.waiting.pop_front() {
+            if let Some(next) = self.buffered.pop_front() {
                 return Some(next);
             }
             if self.ended {
@@ -81,10 +82,10 @@
         let Some(reader) = &mut self.reader else {
             let Some(path) = self.files.pop_front() else {
                 self.ended = true;
-                self.waiting.push_back((self.last_us, EntryContent::RunEnded { clean: self.stopped }));
+                self.buffered.push_back((self.last_us, EntryContent::RunEnded { clean: self.stopped }));
                 return;
             };
-            let (from, to) = self.window_us;
+            let (from, to) = self.time_range_us;
             let opened = File::open(&path).and_then(|file| FileReader::open(BufReader::new(file)));
             match opened.and_then(|mut reader| reader.select_time_range(from, to).map(|()| reader)) {
                 Ok(reader) => self.reader = Some(reader),
@@ -95,111 +96,114 @@
         match reader.next_item() {
             Ok(Some(Item::Block(block))) => {
                 let context = block.header.kind == BlockKind::Context;
-                if context && !self.first_file {
+                if context && !self.in_first_file {
                     return;
                 }
                 for Record { at_us, event } in block.records {
                     self.stopped = event == Event::Stopped;
                     if context {
-                        self.waiting.push_back((block.header.last_us, EntryContent::Context(event)));
-                    } else if (self.window_us.0..=self.window_us.1).contains(&at_us) {
+                        self.buffered.push_back((block.header.last_us, EntryContent::Context(event)));
+                    } else if (self.time_range_us.0..=self.time_range_us.1).contains(&at_us) {
                         self.last_us = at_us;
-                        self.waiting.push_back((at_us, EntryContent::Event(event)));
+                        self.buffered.push_back((at_us, EntryContent::Event(event)));
                     }
                 }
             }
-            Ok(Some(Item::Gap(gap))) => self.waiting.push_back((self.last_us, EntryContent::Gap(gap))),
+            Ok(Some(Item::Gap(gap))) => self.buffered.push_back((self.last_us, EntryContent::Gap(gap))),
             Ok(None) | Err(_) => {
                 self.reader = None;
-                self.first_file = false;
+                self.in_first_file = false;
             }
         }
     }
 }
 
-/// A cause and its effect at another softswitch.
+/// A cause that has an effect at another softswitch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Link {
-    /// A call was sent from the softswitch of this exchange to that of the other.
+enum Cause {
+    /// The softswitch of the first exchange sent a call to the second exchange.
     Sent(CallUid, u32, u32),
-    /// It was answered or ended at the softswitch of this exchange.
-    Done(CallUid, u32),
+    /// The call was answered at the softswitch of this exchange. With `u32::MAX - exchange` instead: it arrived there
+    /// as a call in transit.
+    Answered(CallUid, u32),
 }
 
-/// The records of an archive as one story.
+/// The records of an archive, merged into one timeline.
 pub struct Merge {
     softswitches: Vec<String>,
     homes: Vec<Option<u32>>,
-    clocks: ClockOffsets,
-    streams: Vec<Stream>,
-    /// The next of each stream: when, which, and since when it waits for its cause.
-    heads: BinaryHeap<Reverse<(u64, usize)>>,
-    held: Vec<Option<(u64, u64, EntryContent)>>,
-    causes: HashMap<Link, u64>,
-    causes_by_time: BTreeMap<u64, Vec<Link>>,
+    clock_offsets: ClockOffsets,
+    runs: Vec<RunReader>,
+    /// Time and run of the next entry of each run.
+    pending: BinaryHeap<Reverse<(u64, usize)>>,
+    /// The next entry of each run, with its local time and its corrected time.
+    next_entries: Vec<Option<(u64, u64, EntryContent)>>,
+    causes: HashMap<Cause, u64>,
+    causes_by_time: BTreeMap<u64, Vec<Cause>>,
     last_us: u64,
     file_errors: Vec<FileError>,
-    /// Effects whose cause was in no record.
+    /// Number of effects whose cause was not found in any record.
     pub effects_without_cause: u64,
 }
 
 impl Merge {
-    /// Reads all records once for their clocks, and is then ready to tell them.
-    pub fn open(archive: &Archive, window_us: (u64, u64)) -> Self {
+    /// Reads all records once to estimate the clock offsets; iteration reads them again. Events outside the time range
+    /// (local Unix time in microseconds, both ends included) are left out.
+    pub fn open(archive: &Archive, time_range_us: (u64, u64)) -> Self {
         let names: Vec<String> = archive.softswitches().iter().map(|name| (*name).to_owned()).collect();
-        let place = |name: &str| names.iter().position(|known| known == name).unwrap_or_default();
+        let index_of = |name: &str| names.iter().position(|known| known == name).unwrap_or_default();
         let mut homes = vec![None; names.len()];
         for run in &archive.runs {
-            let home: &mut Option<u32> = &mut homes[place(&run.softswitch)];
+            let home: &mut Option<u32> = &mut homes[index_of(&run.softswitch)];
             *home = home.or(run.home);
         }
-        let streams = || -> Vec<Stream> {
-            let stream = |run: &crate::archive::Run| Stream {
-                softswitch: place(&run.softswitch),
+        let open_runs = || -> Vec<RunReader> {
+            let open_run = |run: &crate::archive::Run| RunReader {
+                softswitch: index_of(&run.softswitch),
                 files: run.files.iter().cloned().collect(),
                 reader: None,
-                waiting: VecDeque::new(),
-                window_us,
+                buffered: VecDeque::new(),
+                time_range_us,
                 last_us: run.started_us,
-                first_file: true,
+                in_first_file: true,
                 stopped: false,
                 ended: false,
             };
-            archive.runs.iter().map(stream).collect()
+            archive.runs.iter().map(open_run).collect()
         };
         let mut file_errors = Vec::new();
         let mut collector = BoundCollector::new(&homes);
-        // By their own times: what the collector make of them does not depend on a few seconds.
-        let mut raw = streams();
-        let mut heads = BinaryHeap::new();
-        let mut held: Vec<Option<(u64, EntryContent)>> = Vec::new();
-        for (i, stream) in raw.iter_mut().enumerate() {
-            held.push(stream.next(&mut file_errors));
-            heads.extend(held[i].as_ref().map(|(at_us, _)| Reverse((*at_us, i))));
+        // Ordered by local times: the collector tolerates differences of some seconds.
+        let mut first_pass = open_runs();
+        let mut pending = BinaryHeap::new();
+        let mut next_contents: Vec<Option<(u64, EntryContent)>> = Vec::new();
+        for (i, run) in first_pass.iter_mut().enumerate() {
+            next_contents.push(run.next(&mut file_errors));
+            pending.extend(next_contents[i].as_ref().map(|(at_us, _)| Reverse((*at_us, i))));
         }
-        while let Some(Reverse((at_us, i))) = heads.pop() {
-            if let Some((_, EntryContent::Event(event))) = held[i].take() {
-                collector.observe(raw[i].softswitch, &Record { at_us, event });
+        while let Some(Reverse((at_us, i))) = pending.pop() {
+            if let Some((_, EntryContent::Event(event))) = next_contents[i].take() {
+                collector.observe(first_pass[i].softswitch, &Record { at_us, event });
             }
-            held[i] = raw[i].next(&mut file_errors);
-            heads.extend(held[i].as_ref().map(|(at_us, _)| Reverse((*at_us, i))));
+            next_contents[i] = first_pass[i].next(&mut file_errors);
+            pending.extend(next_contents[i].as_ref().map(|(at_us, _)| Reverse((*at_us, i))));
         }
-        let clocks = collector.finish().solve(names.len());
+        let clock_offsets = collector.finish().solve(names.len());
         let mut merge = Self {
             softswitches: names.clone(),
             homes,
-            clocks,
-            streams: streams(),
-            heads: BinaryHeap::new(),
-            held: Vec::new(),
+            clock_offsets,
+            runs: open_runs(),
+            pending: BinaryHeap::new(),
+            next_entries: Vec::new(),
             causes: HashMap::new(),
             causes_by_time: BTreeMap::new(),
             last_us: 0,
             file_errors,
             effects_without_cause: 0,
         };
-        for i in 0..merge.streams.len() {
-            merge.held.push(None);
+        for i in 0..merge.runs.len() {
+            merge.next_entries.push(None);
             merge.advance(i);
         }
         merge
@@ -210,31 +214,31 @@
         &self.softswitches
     }
 
-    /// Numbers of their own exchanges.
+    /// Numbers of their home exchanges, in the order of [`Merge::softswitches`].
     pub fn home_exchanges(&self) -> &[Option<u32>] {
         &self.homes
     }
 
-    /// How their clocks were made one.
+    /// Offsets of their clocks.
     pub fn clock_offsets(&self) -> &ClockOffsets {
-        &self.clocks
+        &self.clock_offsets
     }
 
-    /// Files that could not be read after all.
+    /// Errors of files that could not be read although their headers were valid.
     pub fn file_errors(&self) -> &[FileError] {
         &self.file_errors
     }
 
-    /// Puts the next of a stream among the heads.
+    /// Queues the next entry of a run.
     fn advance(&mut self, i: usize) {
-        let mut late = Vec::new();
-        let next = self.streams[i].next(&mut late);
-        // The first reading has told of these already.
-        drop(late);
-        self.held[i] = next.map(|(local_us, what)| {
-            let at_us = self.clocks.correct(self.streams[i].softswitch, local_us);
-            self.heads.push(Reverse((at_us, i)));
-            (local_us, at_us, what)
+        // The first pass has already reported these errors.
+        let mut known_errors = Vec::new();
+        let next = self.runs[i].next(&mut known_errors);
+        drop(known_errors);
+        self.next_entries[i] = next.map(|(local_us, content)| {
+            let at_us = self.clock_offsets.correct(self.runs[i].softswitch, local_us);
+            self.pending.push(Reverse((at_us, i)));
+            (local_us, at_us, content)
         });
     }
 
@@ -242,52 +246,53 @@
         self.homes[softswitch]
     }
 
-    /// The cause at another softswitch that must be told before this, if there is one.
-    fn cause(&self, softswitch: usize, what: &EntryContent) -> Option<(Link, u32)> {
-        let EntryContent::Event(event) = what else { return None };
+    /// The cause at another softswitch that must precede this entry, if there is one, and the exchange of that
+    /// softswitch.
+    fn cause(&self, softswitch: usize, content: &EntryContent) -> Option<(Cause, u32)> {
+        let EntryContent::Event(event) = content else { return None };
         match event {
             Event::SetUp { call, transit_from: Some(from), .. } => {
-                Some((Link::Sent(*call, *from, self.home(softswitch)?), *from))
+                Some((Cause::Sent(*call, *from, self.home(softswitch)?), *from))
             }
             Event::Answered { call, exchange, .. } => {
-                // Of a direct call the exchange itself is the cause, which records nothing.
-                let passed = self.causes.contains_key(&Link::Sent(*call, self.home(softswitch)?, *exchange));
-                let came = self.causes.contains_key(&Link::Done(*call, u32::MAX - *exchange));
-                (passed && came).then_some((Link::Done(*call, *exchange), *exchange))
+                // A direct call is answered by the exchange itself, which records nothing.
+                let sent = self.causes.contains_key(&Cause::Sent(*call, self.home(softswitch)?, *exchange));
+                let arrived = self.causes.contains_key(&Cause::Answered(*call, u32::MAX - *exchange));
+                (sent && arrived).then_some((Cause::Answered(*call, *exchange), *exchange))
             }
             _ => None,
         }
     }
 
-    /// What this is a cause of.
-    fn remember(&mut self, softswitch: usize, what: &EntryContent, at_us: u64) {
-        let (EntryContent::Event(event), Some(home)) = (what, self.home(softswitch)) else { return };
-        let links: Vec<Link> = match event {
-            Event::Attempt { call, exchange, .. } => vec![Link::Sent(*call, home, *exchange)],
-            // That it came there at all: only then its answer there is a cause.
-            Event::SetUp { call, transit_from: Some(_), .. } => vec![Link::Done(*call, u32::MAX - home)],
-            Event::Answered { call, .. } => vec![Link::Done(*call, home)],
+    /// Stores the causes that this entry constitutes, and removes expired ones.
+    fn add_causes(&mut self, softswitch: usize, content: &EntryContent, at_us: u64) {
+        let (EntryContent::Event(event), Some(home)) = (content, self.home(softswitch)) else { return };
+        let new_causes: Vec<Cause> = match event {
+            Event::Attempt { call, exchange, .. } => vec![Cause::Sent(*call, home, *exchange)],
+            // The arrival of a call in transit: only then is the answer there a cause.
+            Event::SetUp { call, transit_from: Some(_), .. } => vec![Cause::Answered(*call, u32::MAX - home)],
+            Event::Answered { call, .. } => vec![Cause::Answered(*call, home)],
             _ => return,
         };
-        for link in links {
-            self.causes.insert(link, at_us);
-            self.causes_by_time.entry(at_us).or_default().push(link);
+        for cause in new_causes {
+            self.causes.insert(cause, at_us);
+            self.causes_by_time.entry(at_us).or_default().push(cause);
         }
         while let Some(entry) = self.causes_by_time.first_entry()
-            && entry.key() + REMEMBER_US < at_us
+            && entry.key() + CAUSE_RETENTION_US < at_us
         {
-            for link in entry.remove() {
-                if self.causes.get(&link).is_some_and(|at| at + REMEMBER_US < at_us) {
-                    self.causes.remove(&link);
+            for cause in entry.remove() {
+                if self.causes.get(&cause).is_some_and(|at| at + CAUSE_RETENTION_US < at_us) {
+                    self.causes.remove(&cause);
                 }
             }
         }
     }
 
-    /// Whether records of the softswitch of this exchange may still come.
-    fn may_come(&self, exchange: u32) -> bool {
-        let mut held = self.streams.iter().zip(&self.held);
-        held.any(|(stream, held)| held.is_some() && self.homes[stream.softswitch] == Some(exchange))
+    /// Whether there are more records of the softswitch of this exchange.
+    fn has_more_records(&self, exchange: u32) -> bool {
+        let mut runs = self.runs.iter().zip(&self.next_entries);
+        runs.any(|(run, next_entry)| next_entry.is_some() && self.homes[run.softswitch] == Some(exchange))
     }
 }
 
@@ -296,23 +301,23 @@
 
     fn next(&mut self) -> Option<TimelineEntry> {
         loop {
-            let Reverse((at_us, i)) = self.heads.pop()?;
-            let Some((local_us, first_us, what)) = self.held[i].take() else { continue };
-            let softswitch = self.streams[i].softswitch;
-            if let Some((cause, exchange)) = self.cause(softswitch, &what)
+            let Reverse((at_us, i)) = self.pending.pop()?;
+            let Some((local_us, first_us, content)) = self.next_entries[i].take() else { continue };
+            let softswitch = self.runs[i].softswitch;
+            if let Some((cause, exchange)) = self.cause(softswitch, &content)
                 && !self.causes.contains_key(&cause)
             {
-                if at_us < first_us + WAIT_US && self.may_come(exchange) {
-                    self.heads.push(Reverse((at_us + STEP_US, i)));
-                    self.held[i] = Some((local_us, first_us, what));
+                if at_us < first_us + MAX_EFFECT_DELAY_US && self.has_more_records(exchange) {
+                    self.pending.push(Reverse((at_us + EFFECT_DELAY_STEP_US, i)));
+                    self.next_entries[i] = Some((local_us, first_us, content));
                     continue;
                 }
                 self.effects_without_cause += 1;
             }
             self.last_us = self.last_us.max(at_us);
-            self.remember(softswitch, &what, self.last_us);
+            self.add_causes(softswitch, &content, self.last_us);
             self.advance(i);
-            return Some(TimelineEntry { at_us: self.last_us, local_us, softswitch, content: what });
+            return Some(TimelineEntry { at_us: self.last_us, local_us, softswitch, content });
         }
     }
 }
--- a/crates/record/src/write.rs
+++ b/crates/record/src/write.rs
@@ -33,10 +33,14 @@
         let mut prefix = MAGIC.to_vec();
         prefix.push(FORMAT_VERSION);
         let raw = postcard::to_stdvec(header).map_err(io::Error::other)?;
-        let started_us = header.run_started_us;
         prefix.extend(
-            format::encode_block(BlockKind::FileHeader, 0, (started_us, started_us), &raw)
-                .map_err(io_error)?,
+            format::encode_block(
+                BlockKind::FileHeader,
+                0,
+                (header.run_started_us, header.run_started_us),
+                &raw,
+            )
+            .map_err(io_error)?,
         );
         output.write_all(&prefix)?;
         output.flush()?;
