--- a/crates/record/src/clocks.rs
+++ b/crates/record/src/clocks.rs
@@ -1,4 +1,4 @@
-//! Estimates the clock offsets of several softswitches from the order of events in their records.
+//! Estimates the clock offsets of several softswitches from recorded events whose order is known.
 //!
 //! A call in transit is sent by the origin before it arrives at the tandem, and is answered or ended at the tandem
 //! before the origin learns of it. Each such pair of events bounds the difference of the two clocks from one side,
@@ -14,7 +14,7 @@
 
 use crate::event::{AttemptOutcome, CallUid, Event, Record, ReleasedBy};
 
-/// Length of a time window; a multiple of it if there would be more than [`MAX_WINDOWS`] otherwise.
+/// Length of a time window. Windows are merged if there would be more than [`MAX_WINDOWS`].
 const WINDOW_US: u64 = 2_000_000;
 const MAX_WINDOWS: u64 = 4_096;
 /// Maximum drift of a clock: ten times that of a quartz oscillator, and less than the slew rate of NTP.
@@ -257,7 +257,8 @@
     }
 }
 
-/// Upper bounds of all clock differences: `m[i][j]` is the maximum by which clock `j` can be ahead of clock `i`.
+/// Upper bounds of all clock differences in one window: `m[i][j]` is the maximum by which clock `j` can be ahead of clock
+/// `i`.
 #[derive(Clone, Debug)]
 struct BoundMatrix {
     clock_count: usize,
@@ -361,6 +362,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClockOffsets {
     window_us: u64,
+    /// Number of the first window, counted from the Unix epoch.
     first_window: u64,
     /// By window, then by softswitch.
     offsets: Vec<Vec<Option<Offset>>>,
--- a/crates/record/src/format.rs
+++ b/crates/record/src/format.rs
@@ -132,7 +132,7 @@
 }
 
 impl BlockHeader {
-    pub(crate) fn to_bytes(&self) -> [u8; BLOCK_HEADER_BYTES] {
+    pub(crate) fn encode(&self) -> [u8; BLOCK_HEADER_BYTES] {
         let mut bytes = [0; BLOCK_HEADER_BYTES];
         bytes[..4].copy_from_slice(&BLOCK_MARKER);
         bytes[4] = self.kind.to_byte();
@@ -148,7 +148,7 @@
     }
 
     /// Decodes a header; `None` if the marker or the checksum is wrong or a size exceeds its limit.
-    pub(crate) fn from_bytes(bytes: &[u8; BLOCK_HEADER_BYTES]) -> Option<Self> {
+    pub(crate) fn decode(bytes: &[u8; BLOCK_HEADER_BYTES]) -> Option<Self> {
         let u32_at = |at: usize| u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]]);
         let u64_at = |at: usize| u64::from(u32_at(at)) | u64::from(u32_at(at + 4)) << 32;
         if bytes[..4] != BLOCK_MARKER || u32_at(40) != crc32fast::hash(&bytes[..40]) {
@@ -188,7 +188,7 @@
         body_crc32: crc32fast::hash(&body),
     };
     let mut bytes = Vec::with_capacity(BLOCK_HEADER_BYTES + body.len());
-    bytes.extend_from_slice(&header.to_bytes());
+    bytes.extend_from_slice(&header.encode());
     bytes.extend_from_slice(&body);
     Ok(bytes)
 }
--- a/crates/record/src/merge.rs
+++ b/crates/record/src/merge.rs
@@ -18,7 +18,7 @@
 const MAX_EFFECT_DELAY_US: u64 = 5_000;
 /// Step in which an effect is delayed.
 const EFFECT_DELAY_STEP_US: u64 = 500;
-/// Causes are kept for this long.
+/// A cause is forgotten after this much corrected time.
 const CAUSE_RETENTION_US: u64 = 30_000_000;
 
 /// An entry of the merged timeline.
--- a/crates/record/src/read.rs
+++ b/crates/record/src/read.rs
@@ -11,7 +11,7 @@
 /// Kind of damage that made records unreadable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Damage {
-    /// The file ends within a block: the program was killed, or is still writing it.
+    /// The file ends before the end of a block: the program was killed, or is still writing it.
     Cut,
     /// Bytes that do not form a block with a valid header.
     Head,
@@ -50,7 +50,7 @@
 pub enum Item {
     /// A block of records or context.
     Block(Block),
-    /// A damaged part. The later time in [`Gap::between_us`] is that of the block that follows.
+    /// A damaged part. The second time of [`Gap::between_us`] is that of the block that follows.
     Gap(Gap),
 }
 
@@ -62,8 +62,9 @@
     offset: u64,
     header: Option<FileHeader>,
     last_us: Option<u64>,
-    /// A gap is returned when the block that follows it is known; that block is returned next.
+    /// The current gap, which is returned once the block that follows it has been read.
     gap: Option<Gap>,
+    /// The block to return after a gap.
     block: Option<Block>,
     /// Offset of an incomplete block at the end of the file.
     incomplete_at: Option<u64>,
@@ -203,7 +204,7 @@
         let mut bytes = [0; BLOCK_HEADER_BYTES];
         self.source.seek(SeekFrom::Start(self.offset))?;
         let read_bytes = read_up_to(&mut self.source, &mut bytes)?;
-        Ok((read_bytes == BLOCK_HEADER_BYTES).then(|| BlockHeader::from_bytes(&bytes)).flatten())
+        Ok((read_bytes == BLOCK_HEADER_BYTES).then(|| BlockHeader::decode(&bytes)).flatten())
     }
 
     /// Advances to the next valid block header, which may be at the current offset.
--- a/crates/record/src/recorder.rs
+++ b/crates/record/src/recorder.rs
@@ -182,7 +182,7 @@
         Ok(Self { queue, stop, finished, has_failed, lost_count: 0, last_us })
     }
 
-    /// Queues a record. If the queue is full the record is lost, and the number of lost
+    /// Queues a record. If the queue is full the record is lost, and an [`Event::RecordsLost`] with the number of lost
     /// records is recorded in their place.
     pub fn record(&mut self, record: Record) {
         if self.has_failed.load(Ordering::Relaxed) {
@@ -222,9 +222,10 @@
     settings: RecorderSettings,
     header: FileHeader,
     file: Option<FileWriter<S::File>>,
-    opened: Instant,
-    flushed: Instant,
-    /// Records of the current state, which are repeated at the start of each later file.
+    opened_at: Instant,
+    flushed_at: Instant,
+    /// Records of the current state, which are repeated at the start of each later file. The key is a number for the
+    /// kind of event, and the number and name of the exchange for events that concern one.
     context: BTreeMap<(u8, u32, String), Record>,
 }
 
@@ -233,7 +234,7 @@
         let file = FileWriter::create(storage.create(&file_name(&header))?, &header)?;
         let now = Instant::now();
         let (file, context) = (Some(file), BTreeMap::new());
-        let mut writer = Self { storage, settings, header, file, opened: now, flushed: now, context };
+        let mut writer = Self { storage, settings, header, file, opened_at: now, flushed_at: now, context };
         writer.enforce_budget()?;
         Ok(writer)
     }
@@ -259,8 +260,8 @@
                 }
                 return self.file.take().map_or(Ok(()), |file| file.finish()?.flush());
             }
-            if self.flushed.elapsed() >= FLUSH_INTERVAL {
-                self.flushed = Instant::now();
+            if self.flushed_at.elapsed() >= FLUSH_INTERVAL {
+                self.flushed_at = Instant::now();
                 if let Some(file) = &mut self.file {
                     file.flush()?;
                 }
@@ -270,7 +271,7 @@
     }
 
     fn write(&mut self, record: &Record) -> io::Result<()> {
-        self.keep_context(record);
+        self.update_context(record);
         if let Some(file) = &mut self.file {
             file.push(record)?;
         }
@@ -280,7 +281,7 @@
         if full { self.rotate() } else { Ok(()) }
     }
 
-    fn keep_context(&mut self, record: &Record) {
+    fn update_context(&mut self, record: &Record) {
         let no_name = String::new;
         let key = match &record.event {
             Event::Started { .. } => (0, 0, no_name()),
@@ -300,7 +301,7 @@
 
     fn rotate_if_due(&mut self) -> io::Result<()> {
         let Some(file) = &self.file else { return Ok(()) };
-        let due = self.retention().is_due(file.written_bytes(), self.opened.elapsed());
+        let due = self.retention().is_due(file.written_bytes(), self.opened_at.elapsed());
         if due { self.rotate() } else { Ok(()) }
     }
 
@@ -317,11 +318,11 @@
         let mut file = FileWriter::create(self.storage.create(&file_name(&self.header))?, &self.header)?;
         file.write_context(self.context.values())?;
         self.file = Some(file);
-        self.opened = Instant::now();
+        self.opened_at = Instant::now();
         self.enforce_budget()
     }
 
-    /// Removes old files until the others and the file just opened fit into the budget.
+    /// Removes old files until the others and the file just opened_at fit into the budget.
     fn enforce_budget(&mut self) -> io::Result<()> {
         for name in self.retention().files_to_remove(&self.storage.list()?) {
             match self.storage.remove(&name) {
--- a/crates/record/tests/files.rs
+++ b/crates/record/tests/files.rs
@@ -98,17 +98,18 @@
     property_runner(300)
         .run(&flips, |flips| {
             let mut bytes = file.clone();
-            flips.iter().for_each(|(at, with)| bytes[*at] ^= with);
+            flips.iter().for_each(|(at, mask)| bytes[*at] ^= mask);
             let (blocks, gaps) = read_file(&bytes);
-            let mut begin = 0;
+            let mut previous_end = 0;
             let mut expected = Vec::new();
             for (i, end) in ends.iter().enumerate() {
                 // The file header precedes the first block, and damage to it loses no records.
-                let block_begin = if i == 0 { ends[0] - common::block_length(&file, ends[0]) } else { begin };
+                let block_begin =
+                    if i == 0 { ends[0] - common::block_length(&file, ends[0]) } else { previous_end };
                 if !flips.iter().any(|(at, _)| (block_begin..*end).contains(&(*at as u64))) {
                     expected.extend_from_slice(&written[300 * i..300 * (i + 1)]);
                 }
-                begin = *end;
+                previous_end = *end;
             }
             prop_assert_eq!(records_of(&blocks), expected);
             let last = ends[ends.len() - 1];
