--- a/crates/record/tests/clocks.rs
+++ b/crates/record/tests/clocks.rs
@@ -1,5 +1,5 @@
 //! Clock offsets and the merged timeline. The tests generate records with true times and stamp them with wrong clocks,
-//! so that the results can be compared with the truth.
+//! so that the results can be compared with the true times.
 
 mod common;
 
@@ -37,7 +37,7 @@
         let call = CallUid(rng.next_u64());
         let begin_us = START + 1_000_000 + i * 25_000 + rng.below(20_000);
         let origin = rng.below(nodes);
-        let other = |rng: &mut SplitMix64, not: u64| (not + 1 + rng.below(nodes - 1)) % nodes;
+        let other = |rng: &mut SplitMix64, excluded: u64| (excluded + 1 + rng.below(nodes - 1)) % nodes;
         let tandem = other(&mut rng, origin);
         let set_up = |dest: u64, transit_from: Option<u64>| {
             let (dest, transit_from) = (dest as u32, transit_from.map(|n| n as u32));
@@ -57,7 +57,8 @@
             by: ReleasedBy::Exchange,
             cut: false,
         };
-        let mut at = |node: u64, at_us: u64, event: Event| all.push((node as usize, Record { at_us, event }));
+        let mut record_at =
+            |node: u64, at_us: u64, event: Event| all.push((node as usize, Record { at_us, event }));
         // Delays in queues: mostly short, sometimes up to 2 s, and different in each direction.
         let mut delay =
             || 9_000 + rng.below(4_000) + if rng.below(5) == 0 { rng.below(2_000_000) } else { 0 };
@@ -66,26 +67,26 @@
             let arrived_us = begin_us + 300 + delay();
             let answered_us = arrived_us + 200 + delay();
             let answer_seen_us = answered_us + delay();
-            at(origin, begin_us, set_up(dest, None));
-            at(origin, begin_us + 300, attempt(tandem));
-            at(tandem, arrived_us, set_up(dest, Some(origin)));
-            at(tandem, arrived_us + 200, attempt(dest));
-            at(tandem, answered_us, answer(dest));
-            at(origin, answer_seen_us, answer(tandem));
+            record_at(origin, begin_us, set_up(dest, None));
+            record_at(origin, begin_us + 300, attempt(tandem));
+            record_at(tandem, arrived_us, set_up(dest, Some(origin)));
+            record_at(tandem, arrived_us + 200, attempt(dest));
+            record_at(tandem, answered_us, answer(dest));
+            record_at(origin, answer_seen_us, answer(tandem));
             let released_us = answer_seen_us + 1_000_000 + delay();
-            at(tandem, released_us, released(dest));
-            at(origin, released_us + delay(), released(tandem));
+            record_at(tandem, released_us, released(dest));
+            record_at(origin, released_us + delay(), released(tandem));
         } else {
-            at(origin, begin_us, set_up(tandem, None));
-            at(origin, begin_us + 300, attempt(tandem));
-            at(origin, begin_us + 300 + delay(), answer(tandem));
+            record_at(origin, begin_us, set_up(tandem, None));
+            record_at(origin, begin_us + 300, attempt(tandem));
+            record_at(origin, begin_us + 300 + delay(), answer(tandem));
         }
     }
     all.sort_by_key(|(_, record)| record.at_us);
     all
 }
 
-fn solve(nodes: usize, clocks: &[Clock], seed: u64) -> ClockOffsets {
+fn solve_offsets(nodes: usize, clocks: &[Clock], seed: u64) -> ClockOffsets {
     let homes: Vec<Option<u32>> = (0..nodes as u32).map(Some).collect();
     let mut collector = BoundCollector::new(&homes);
     for (node, record) in true_records(nodes as u64, 4_000, seed) {
@@ -95,7 +96,7 @@
     collector.finish().solve(nodes)
 }
 
-fn clocks(nodes: usize, seed: u64) -> Vec<Clock> {
+fn random_clocks(nodes: usize, seed: u64) -> Vec<Clock> {
     let mut rng = SplitMix64(seed ^ 0xabc);
     let clock = |i: usize| Clock {
         ahead_us: if i == 1 { 80_000 } else { rng.below(160_000) as i64 - 80_000 },
@@ -107,16 +108,16 @@
 #[test]
 fn true_offsets_lie_within_the_stated_uncertainty_which_is_small() {
     for seed in 0..20 {
-        let truth = clocks(5, seed);
-        let solved = solve(5, &truth, seed);
+        let true_clocks = random_clocks(5, seed);
+        let solved = solve_offsets(5, &true_clocks, seed);
         assert_eq!(solved.contradictions, 0, "seed {seed}");
         let reference = solved.reference().expect("there are clocks");
         for second in (3..97).step_by(2) {
             let at = START + second * 1_000_000;
             for i in 0..5 {
-                let local_us = truth[i].reading(at);
+                let local_us = true_clocks[i].reading(at);
                 let offset = solved.offset(i, local_us).expect("all clocks are tied to the reference");
-                let true_offset = local_us as i64 - truth[reference].reading(at) as i64;
+                let true_offset = local_us as i64 - true_clocks[reference].reading(at) as i64;
                 let error_us = (offset.ahead_us - true_offset).abs();
                 assert!(
                     error_us <= offset.uncertainty_us,
@@ -205,7 +206,7 @@
 fn write_files(
     test: &str,
     nodes: usize,
-    truth: &[Clock],
+    true_clocks: &[Clock],
     seed: u64,
 ) -> (PathBuf, HashMap<(usize, u64), u64>) {
     let directory = std::env::temp_dir().join(format!("swiftlb-{test}-{}", std::process::id()));
@@ -214,7 +215,7 @@
     let records = true_records(nodes as u64, 2_000, seed);
     let middle = START + 25_000_000;
     let mut true_times = HashMap::new();
-    for (node, clock) in truth.iter().enumerate().take(nodes) {
+    for (node, clock) in true_clocks.iter().enumerate().take(nodes) {
         for (run, is_first_run) in [(0, true), (1, false)] {
             let in_run = |at: u64| (at < middle) == is_first_run;
             let run_us = if is_first_run { START } else { middle };
@@ -234,8 +235,8 @@
                     .push(&Record { at_us, event: record.event.clone() })
                     .expect("writing to memory succeeds");
             }
-            let killed = node == 2 && run == 0;
-            let bytes = if killed {
+            let is_killed = node == 2 && run == 0;
+            let bytes = if is_killed {
                 writer.flush().expect("writing to memory succeeds");
                 let complete_bytes = writer.written_bytes() as usize;
                 let bytes = writer.finish().expect("writing to memory succeeds");
@@ -255,8 +256,8 @@
 #[test]
 fn the_timeline_has_causes_before_effects_although_clocks_are_off_by_80_ms_and_drift() {
     for seed in 0..5 {
-        let truth = clocks(4, seed);
-        let (directory, true_times) = write_files(&format!("timeline-{seed}"), 4, &truth, seed);
+        let true_clocks = random_clocks(4, seed);
+        let (directory, true_times) = write_files(&format!("timeline-{seed}"), 4, &true_clocks, seed);
         let merge = Merge::open(&Archive::open(std::slice::from_ref(&directory)), (0, u64::MAX));
         assert_eq!(merge.softswitches(), ["n0", "n1", "n2", "n3"]);
         let reference = merge.clock_offsets().reference().expect("there are clocks");
@@ -272,7 +273,7 @@
             let EntryContent::Event(event) = &entry.content else { continue };
             events += 1;
             if let Some(true_us) = true_times.get(&(entry.softswitch, entry.local_us)) {
-                let error_us = entry.at_us as i64 - truth[reference].reading(*true_us) as i64;
+                let error_us = entry.at_us as i64 - true_clocks[reference].reading(*true_us) as i64;
                 assert!(error_us.abs() < 30_000, "seed {seed}: {error_us} us off");
             }
             match event {
@@ -316,8 +317,8 @@
 
 #[test]
 fn only_events_within_the_time_range_are_returned() {
-    let truth = vec![Clock { ahead_us: 0, drift_ppm: 0 }; 4];
-    let (directory, _) = write_files("time-range", 4, &truth, 9);
+    let true_clocks = vec![Clock { ahead_us: 0, drift_ppm: 0 }; 4];
+    let (directory, _) = write_files("time-range", 4, &true_clocks, 9);
     let (from, to) = (START + 10_000_000, START + 12_000_000);
     let merge = Merge::open(&Archive::open(std::slice::from_ref(&directory)), (from, to));
     let events: Vec<TimelineEntry> =
--- a/crates/record/tests/files.rs
+++ b/crates/record/tests/files.rs
@@ -152,8 +152,8 @@
     let mut writer = FileWriter::create(Vec::new(), &FileHeader::first_of_run("n0", 0, 1_000))
         .expect("writing to memory succeeds");
     let mut sizes = vec![writer.written_bytes() as usize];
-    for part in written.chunks(100) {
-        part.iter().for_each(|record| writer.push(record).expect("writing to memory succeeds"));
+    for chunk in written.chunks(100) {
+        chunk.iter().for_each(|record| writer.push(record).expect("writing to memory succeeds"));
         writer.flush().expect("writing to memory succeeds");
         sizes.push(writer.written_bytes() as usize);
     }
