--- a/src/engine/sibling.rs
+++ b/src/engine/sibling.rs
@@ -7,16 +7,16 @@
 use swiftlb_record::ReleasedBy;
 
 use super::{
-    CONNECTED, CallUid, CallerMessage, Config, EMPTY_EVERY, Effect, Engine, Front, HandoverState,
-    LearnedValues, ListEntry, NO_LINK, Outcome, Readiness, SettingsError, SiblingMessage, SystemTime, Timer,
-    UNLISTED,
+    CallUid, CallerMessage, Config, DRAIN_CHECK_INTERVAL, Effect, Engine, Front, HandoverState,
+    LearnedValues, ListEntry, MAX_CONNECT_WAIT, MAX_LIST_WAIT, NO_CALLER_CONN, Outcome, Readiness,
+    SettingsError, SiblingMessage, SystemTime, Timer,
 };
 
 /// Descriptors of a process beside its connections to callers and exchanges: standard ones, poll, listeners, the
 /// operators' door, the resolver, the other process, connections that are closing.
-const OTHER_DESCRIPTORS: usize = 32;
+const RESERVED_DESCRIPTORS: usize = 32;
 /// Connections from callers that a process may hold however few descriptors there are.
-const FEWEST_LINKS: usize = 4;
+const MIN_CALLER_CONNS: usize = 4;
 
 /// Which of two processes the other one is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,65 +43,74 @@
         let config = Config { known: list, serial, ..config.clone() };
         let mut engine = Self::new(&config, now, effects)?;
         for (topic, name, values) in learned {
-            let exchange = name.as_ref().map(|name| engine.by_peer_name.get(name).copied());
+            let exchange = name.as_ref().map(|name| engine.exchange_ids.get(name).copied());
             // Of an exchange that is in no list any more.
             if exchange != Some(None) {
-                engine.module.apply_learned(&LearnedValues { topic, exchange: exchange.flatten(), values });
+                engine.controller.apply_learned(&LearnedValues {
+                    topic,
+                    exchange: exchange.flatten(),
+                    values,
+                });
             }
         }
-        (engine.twin, engine.listed, engine.accepting) = (Some(Role::Predecessor), true, false);
-        engine.divide();
+        (engine.sibling, engine.list_confirmed, engine.accepting_callers) =
+            (Some(Role::Predecessor), true, false);
+        engine.apply_limits();
         effects.push(Effect::Accept(false));
-        for limit in [CONNECTED, UNLISTED] {
-            engine.set_timer(limit, Timer::Begin);
+        for limit in [MAX_CONNECT_WAIT, MAX_LIST_WAIT] {
+            engine.set_timer(limit, Timer::CheckReady);
         }
         Ok(engine)
     }
 
     /// Begins to serve in the place of another process, once it can.
-    pub(super) fn begin(&mut self, effects: &mut Vec<Effect>) {
-        if !self.accepting && self.twin == Some(Role::Predecessor) && self.is_ready() {
-            self.accepting = true;
+    pub(super) fn serve_when_ready(&mut self, effects: &mut Vec<Effect>) {
+        if !self.accepting_callers && self.sibling == Some(Role::Predecessor) && self.is_ready() {
+            self.accepting_callers = true;
             effects.push(Effect::Accept(true));
             effects.push(Effect::ToSibling(SiblingMessage::Serving));
         }
     }
 
     /// Whether another process serves in the place of this one.
-    pub(super) fn succeeded(&self) -> bool {
-        self.twin == Some(Role::Successor { serving: true })
+    pub(super) fn successor_serves(&self) -> bool {
+        self.sibling == Some(Role::Successor { serving: true })
     }
 
     /// Takes this process's part of what the softswitch may hold.
-    pub(super) fn divide(&mut self) {
-        let processes = if self.twin.is_some() { 2 } else { 1 };
-        self.module.set_process_count(processes);
+    pub(super) fn apply_limits(&mut self) {
+        let processes = if self.sibling.is_some() { 2 } else { 1 };
+        self.controller.set_process_count(processes);
         // Callers hold at most a third of the descriptors; the rest is for exchanges and growth.
-        let half = self.sockets / 2;
-        let others = OTHER_DESCRIPTORS + 2 * self.peers.len();
-        self.most_links = match processes {
+        let half = self.max_descriptors / 2;
+        let others = RESERVED_DESCRIPTORS + 2 * self.exchanges.len();
+        self.max_caller_conns = match processes {
             1 => half.max(1),
-            _ => half.saturating_sub(others).max(FEWEST_LINKS),
+            _ => half.saturating_sub(others).max(MIN_CALLER_CONNS),
         };
     }
 
-    pub(super) fn hear_twin(&mut self, word: SiblingMessage, effects: &mut Vec<Effect>) {
+    pub(super) fn handle_sibling_message(&mut self, word: SiblingMessage, effects: &mut Vec<Effect>) {
         match word {
             SiblingMessage::HandoverRequest => self.hand_over(effects),
-            SiblingMessage::Serving if self.twin.is_some() => {
-                self.twin = Some(Role::Successor { serving: true });
-                self.accepting = false;
+            SiblingMessage::Serving if self.sibling.is_some() => {
+                self.sibling = Some(Role::Successor { serving: true });
+                self.accepting_callers = false;
                 effects.push(Effect::Accept(false));
                 effects.push(Effect::Log("another process serves in the place of this one".to_owned()));
-                if self.draining_since.is_some() {
-                    self.leave_to_successor(effects);
+                if self.stopping_since.is_some() {
+                    self.stop_for_successor(effects);
                 }
             }
-            SiblingMessage::HangUp { call, cause } => self.hang_up(NO_LINK, call, cause, effects),
-            SiblingMessage::Ended { call, cut } => self.ended_at_twin(call, cut, effects),
+            SiblingMessage::HangUp { call, cause } => self.hang_up(NO_CALLER_CONN, call, cause, effects),
+            SiblingMessage::Ended { call, cut } => self.sibling_reported_end(call, cut, effects),
             SiblingMessage::Release { call, cut } => {
                 let word = CallerMessage::Released { cut };
-                self.release_caller(NO_LINK, self.held(Front::JsonLines, call, word), effects);
+                self.send_release(
+                    NO_CALLER_CONN,
+                    self.pending_release(Front::JsonLines, call, word),
+                    effects,
+                );
             }
             // These come before the loop begins, or never.
             SiblingMessage::Serving
@@ -113,78 +122,79 @@
 
     /// Another process asks to take the place of this one.
     fn hand_over(&mut self, effects: &mut Vec<Effect>) {
-        self.twin = Some(Role::Successor { serving: false });
-        self.divide();
-        while self.links.len() > self.most_links && self.make_room(effects) {}
-        for peer in self.peers.values().filter(|peer| peer.readiness != Readiness::Removed) {
+        self.sibling = Some(Role::Successor { serving: false });
+        self.apply_limits();
+        while self.caller_conns.len() > self.max_caller_conns && self.close_least_used_conn(effects) {}
+        for exchange in self.exchanges.values().filter(|exchange| exchange.readiness != Readiness::Removed) {
             effects.push(Effect::ToSibling(SiblingMessage::Exchange(ListEntry {
-                name: peer.name.clone(),
-                address: peer.address,
-                number: peer.number,
-                zone: peer.zone,
-                started_at: peer.born,
-                readiness: peer.readiness,
+                name: exchange.name.clone(),
+                address: exchange.address,
+                number: exchange.number,
+                zone: exchange.zone,
+                started_at: exchange.started_at,
+                readiness: exchange.readiness,
             })));
         }
-        for LearnedValues { topic, exchange, values } in self.module.learned_values() {
-            let name: Option<Option<Arc<str>>> = exchange.map(|id| Some(self.peers.get(&id)?.name.clone()));
+        for LearnedValues { topic, exchange, values } in self.controller.learned_values() {
+            let name: Option<Option<Arc<str>>> =
+                exchange.map(|id| Some(self.exchanges.get(&id)?.name.clone()));
             if name != Some(None) {
                 let exchange = name.flatten();
                 effects.push(Effect::ToSibling(SiblingMessage::Learned { topic, exchange, values }));
             }
         }
-        effects.push(Effect::ToSibling(SiblingMessage::HandoverComplete { serial: self.serial }));
+        effects.push(Effect::ToSibling(SiblingMessage::HandoverComplete { serial: self.list_serial }));
     }
 
     /// The other process knows nothing of a call that an exchange says is over.
-    fn ended_at_twin(&mut self, name: CallUid, cut: bool, effects: &mut Vec<Effect>) {
+    fn sibling_reported_end(&mut self, name: CallUid, cut: bool, effects: &mut Vec<Effect>) {
         let outcome = if cut { Outcome::Reset } else { Outcome::Completed };
-        match self.by_name.get(&name).copied().map(|id| (id, self.calls[&id].phase)) {
-            Some((id, super::Phase::Standing { at })) => {
-                self.end_standing(id, at, outcome, ReleasedBy::Exchange, effects);
+        match self.call_ids.get(&name).copied().map(|id| (id, self.calls[&id].phase)) {
+            Some((id, super::Phase::Established { exchange: at })) => {
+                self.end_established(id, at, outcome, ReleasedBy::Exchange, effects);
             }
             Some(_) => {}
-            None if self.over_names.contains(&name) => {}
-            None => self.pass_release(name, outcome, effects),
+            None if self.ended_call_uids.contains(&name) => {}
+            None => self.release_unknown_call(name, outcome, effects),
         }
     }
 
     /// The order to stop, and another process serves: callers' connections are closed as they empty, and it ends
     /// once nothing is open or stands.
-    pub(super) fn leave_to_successor(&mut self, effects: &mut Vec<Effect>) {
-        if !std::mem::replace(&mut self.leaving, true) {
-            self.draining_since = None;
-            self.set_timer(Duration::ZERO, Timer::Leave);
+    pub(super) fn stop_for_successor(&mut self, effects: &mut Vec<Effect>) {
+        if !std::mem::replace(&mut self.stopping_for_successor, true) {
+            self.stopping_since = None;
+            self.set_timer(Duration::ZERO, Timer::StopForSuccessor);
         }
-        self.try_exit(effects);
+        self.exit_if_done(effects);
     }
 
     /// Closes what is empty, and ends if nothing is left.
-    pub(super) fn look_whether_empty(&mut self, effects: &mut Vec<Effect>) {
-        if !self.leaving {
+    pub(super) fn continue_stop_for_successor(&mut self, effects: &mut Vec<Effect>) {
+        if !self.stopping_for_successor {
             return;
         }
-        self.set_timer(EMPTY_EVERY, Timer::Leave);
-        let open = self.links_in_use();
+        self.set_timer(DRAIN_CHECK_INTERVAL, Timer::StopForSuccessor);
+        let open = self.conns_with_open_setups();
         let empty: Vec<_> =
-            self.links.keys().filter(|caller_conn| !open.contains(caller_conn)).copied().collect();
+            self.caller_conns.keys().filter(|caller_conn| !open.contains(caller_conn)).copied().collect();
         for caller_conn in empty {
-            self.close_if_empty(caller_conn, effects);
+            self.close_draining_conn(caller_conn, effects);
         }
-        self.try_exit(effects);
+        self.exit_if_done(effects);
     }
 
     /// The other process is gone: this one is the softswitch again.
-    pub(super) fn lose_twin(&mut self, effects: &mut Vec<Effect>) {
-        let Some(role) = self.twin.take() else { return };
-        self.divide();
+    pub(super) fn sibling_disconnected(&mut self, effects: &mut Vec<Effect>) {
+        let Some(role) = self.sibling.take() else { return };
+        self.apply_limits();
         effects.push(Effect::Log(format!("the other process is gone ({role:?})")));
-        if !std::mem::replace(&mut self.accepting, true) {
+        if !std::mem::replace(&mut self.accepting_callers, true) {
             effects.push(Effect::Accept(true));
         }
-        if std::mem::take(&mut self.leaving) {
+        if std::mem::take(&mut self.stopping_for_successor) {
             // Its place is empty once more, and it was told to stop.
-            self.take(super::Input::Drain, effects);
+            self.handle_input(super::Input::Drain, effects);
         }
     }
 }
--- a/src/engine/status.rs
+++ b/src/engine/status.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::UNIX_EPOCH;
 
-use super::{Engine, ExchangeId, Phase, Readiness, Way, duration_from_ms, since};
+use super::{ConnState, Engine, ExchangeId, Phase, Readiness, duration_between, duration_from_ms};
 use crate::ops::{Fleet, Seen};
 
 impl Engine {
@@ -12,9 +12,9 @@
         let mut counts: BTreeMap<ExchangeId, (usize, usize)> = BTreeMap::new();
         for call in self.calls.values() {
             match call.phase {
-                Phase::Out { to, .. } => counts.entry(to).or_default().0 += 1,
-                Phase::Standing { at } => counts.entry(at).or_default().1 += 1,
-                Phase::Open => {}
+                Phase::Attempting { exchange: to, .. } => counts.entry(to).or_default().0 += 1,
+                Phase::Established { exchange: at } => counts.entry(at).or_default().1 += 1,
+                Phase::Waiting => {}
             }
         }
         counts
@@ -24,33 +24,38 @@
     pub(super) fn fleet(&self) -> Fleet {
         let counts = self.calls_by_exchange();
         let stands: usize = counts.values().map(|(_, standing)| standing).sum();
-        let listed = self.peers.iter().filter(|(_, peer)| peer.readiness != Readiness::Removed);
+        let listed = self.exchanges.iter().filter(|(_, exchange)| exchange.readiness != Readiness::Removed);
         let mut exchanges: Vec<Seen> = listed
-            .map(|(id, peer)| {
-                let own = Some(peer.number) == self.home;
-                let heard = match peer.way {
-                    Way::Up(exchange_conn) => {
-                        self.conns.get(&exchange_conn).map(|held| since(held.heard, self.now))
-                    }
+            .map(|(id, exchange)| {
+                let own = Some(exchange.number) == self.home;
+                let heard = match exchange.conn {
+                    ConnState::Up(exchange_conn) => self
+                        .exchange_conns
+                        .get(&exchange_conn)
+                        .map(|held| duration_between(held.last_received, self.now)),
                     _ => None,
                 };
                 let (out, standing) = counts.get(id).copied().unwrap_or_default();
                 Seen {
-                    exchange: peer.number,
-                    name: peer.name.to_string(),
-                    listing: if peer.readiness == Readiness::Ready { "ready" } else { "draining" },
-                    way: match peer.way {
+                    exchange: exchange.number,
+                    name: exchange.name.to_string(),
+                    listing: if exchange.readiness == Readiness::Ready { "ready" } else { "draining" },
+                    way: match exchange.conn {
                         _ if own => "own",
-                        Way::Up(_) => "up",
-                        Way::Dialling(_) => "opening",
-                        Way::Down => "down",
+                        ConnState::Up(_) => "up",
+                        ConnState::Connecting(_) => "opening",
+                        ConnState::Down => "down",
                     },
-                    group: peer.group,
+                    group: exchange.group,
                     heard,
-                    expected: duration_from_ms(if own { 0.0 } else { self.module.expected_delay_ms(*id) }),
+                    expected: duration_from_ms(if own {
+                        0.0
+                    } else {
+                        self.controller.expected_delay_ms(*id)
+                    }),
                     out,
                     standing,
-                    avoided: !own && self.module.avoids(*id),
+                    avoided: !own && self.controller.avoids(*id),
                 }
             })
             .collect();
@@ -58,9 +63,11 @@
         Fleet {
             softswitch: self.name.clone(),
             home: self.home,
-            at_us: since(UNIX_EPOCH, self.now).as_micros() as u64,
-            up: since(self.started, self.now),
-            draining: self.emptying.is_some() || self.draining_since.is_some() || self.leaving,
+            at_us: duration_between(UNIX_EPOCH, self.now).as_micros() as u64,
+            up: duration_between(self.started_at, self.now),
+            draining: self.draining_since.is_some()
+                || self.stopping_since.is_some()
+                || self.stopping_for_successor,
             calls: (self.calls.len() - stands, stands),
             ended: self.figures.ended(),
             refused: self.figures.refusals(),
