--- a/src/engine/exchanges.rs
+++ b/src/engine/exchanges.rs
@@ -12,7 +12,7 @@
 use super::{
     Call, CallId, CallUid, Effect, Engine, Event, ExchangeConnId, ExchangeId, ExchangeMessage, ListEntry,
     ListUpdateKind, ListedExchange, Number, Outcome, Phase, RECONNECT_DELAY, REMOVAL_GRACE,
-    REMOVED_EXCHANGE_RETENTION, Readiness, Reason, Timer, duration_between, unix_ms,
+    REMOVED_EXCHANGE_RETENTION, Readiness, Reason, Timer, elapsed, unix_ms,
 };
 use crate::interface::LoadReport;
 use swiftlb_record::{ConnectionChange, ReleasedBy};
@@ -286,7 +286,7 @@
             exchange.conn = ConnState::Down;
         }
         let since_when = *exchange.unreachable_since.get_or_insert(now);
-        if refused || duration_between(since_when, now) >= MAX_UNREACHABLE_TIME {
+        if refused || elapsed(since_when, now) >= MAX_UNREACHABLE_TIME {
             self.exchange_failed(id, refused, effects);
         } else if exchange.conn == ConnState::Down {
             self.fail_unsent_setups(id);
@@ -319,7 +319,7 @@
         } else if held.carries_calls {
             self.cut_established_calls(id, effects);
             self.connect(id, effects);
-        } else if duration_between(held.opened_at, now) < MIN_CONN_LIFETIME {
+        } else if elapsed(held.opened_at, now) < MIN_CONN_LIFETIME {
             self.schedule_reconnect(id);
         } else {
             self.connect(id, effects);
@@ -374,7 +374,7 @@
         let Some(held) = self.exchange_conns.get(&exchange_conn).filter(|held| !held.carries_calls) else {
             return;
         };
-        let quiet = |from: SystemTime| duration_between(from.max(held.last_received), self.now);
+        let quiet = |from: SystemTime| elapsed(from.max(held.last_received), self.now);
         let limit =
             if exchange.reports_group { SETUP_SILENCE_LIMIT } else { SETUP_SILENCE_LIMIT_WITHOUT_REPORTS };
         let owed = |call: &Call| {
@@ -430,7 +430,7 @@
         else {
             return;
         };
-        if duration_between(exchange.readiness_changed_at, self.now) >= REMOVED_EXCHANGE_RETENTION {
+        if elapsed(exchange.readiness_changed_at, self.now) >= REMOVED_EXCHANGE_RETENTION {
             let name = exchange.name.clone();
             self.exchanges.remove(&id);
             self.exchange_ids.remove(&name);
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -1,9 +1,14 @@
-//! The reducer: every call, attempt, timer and exchange of a softswitch, and no wire, socket or clock.
+//! The reducer: the state of every call, attempt, timer and exchange of a softswitch, without I/O and without a
+//! clock of its own.
 //!
-//! [`Engine::handle`] is the only way in. It takes the time and one [`Input`], lets the decision module decide
-//! and adds [`Effect`]s. It trusts neither side with the rules: whatever comes, a call gets one final outcome
-//! in its time, has one attempt out at most, keeps the release pause, and nothing new goes to an exchange that
-//! drains.
+//! [`Engine::handle`] is the only entry point. It takes the current time and one [`Input`], lets the decision
+//! module decide, and appends the resulting [`Effect`]s. Some rules are enforced here, whatever the decision
+//! module, the callers and the exchanges do:
+//!
+//! - every call gets exactly one final outcome, at its deadline at the latest;
+//! - a call has at most one open attempt;
+//! - after a time-out, reset or cancel a call is not sent again before the release pause is over;
+//! - no new set-up is sent to an exchange that is draining.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet, VecDeque};
@@ -35,125 +40,132 @@
 use sibling::Role;
 use swiftlb_record::{DrainSource, Event as Recorded, FailureReason, RefusalReason, ReleasedBy};
 
-/// A final answer that the module has not given this long after the caller's time is given for it: well
-/// inside the 50 ms that the rules allow on sockets.
+/// Time after a caller's deadline at which the engine fails the call if the decision module has given no final
+/// answer. Callers on sockets must have theirs within 50 ms of the deadline.
 const DECISION_GRACE: Duration = Duration::from_millis(15);
-/// Time between two tries to reach an exchange that is down, so that news of its group comes soon after.
+/// Pause before another connection to an unreachable exchange is opened. Short, because the state of its circuit
+/// group arrives only on an open connection.
 const RECONNECT_DELAY: Duration = Duration::from_millis(250);
-/// An exchange that the list no longer has may still say how its calls ended for this long.
+/// How long an exchange that was removed from the list may still report how its calls ended.
 const REMOVAL_GRACE: Duration = Duration::from_millis(700);
-/// A release that finds no way to callers is kept for this long: past it nobody waits for it.
+/// How long a release is kept while there is no caller connection to send it on; after that no caller waits for
+/// it.
 const RELEASE_EXPIRY: Duration = Duration::from_secs(10);
-/// No way has this id.
+/// An id that no caller connection has.
 const NO_CALLER_CONN: CallerConnId = CallerConnId::MAX;
-/// A release whose own way is gone waits this long for a way on which calls have come: a connection that has
-/// said nothing yet may never read it.
+/// How long a release whose own connection is closed waits for a connection that has carried calls. The caller may
+/// never read a connection on which it has sent nothing.
 const PREFERRED_CONN_WAIT: Duration = Duration::from_millis(250);
-/// A connection from callers must bring its first line within this time: good callers may write it over 2 s, and bad
-/// ones are owed a word within 3 s.
+/// Time within which a caller connection must carry its first line. A well-behaved caller may take 2 s to write
+/// it, and a faulty one must get a reaction within 3 s.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A connection from callers with no call on it is closed after this time; callers themselves close it
-/// after 4 s, so whoever is still there holds it for good.
+/// Time after which a caller connection without a call is closed. Callers close idle connections after 4 s
+/// themselves, so one that is open for longer would stay open indefinitely.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A connection younger than this is not closed to make room: its first line is on its way.
+/// Age below which a connection without a message is the last choice to be closed for a new one: its first line may
+/// be in transit.
 const NEW_CONN_GRACE: Duration = Duration::from_millis(200);
-/// Lines that cannot be used before the connection they come on is closed.
+/// Number of malformed messages at which a caller connection is closed.
 const MAX_MALFORMED_MESSAGES: u32 = 4;
-/// Set-ups that may wait for an answer at once, and bytes of their descriptions: memory is bounded, and what
-/// lies beyond would not be answered in time anyway.
+/// Maximum number of set-ups without an answer. Bounds the memory; any more would not be answered in time.
 const MAX_OPEN_SETUPS: usize = 1_000;
+/// Maximum size of the descriptions of all set-ups without an answer, in bytes.
 const MAX_OPEN_DESCRIPTION_BYTES: usize = 4 << 20;
-/// A release may prove unheard for this long after it was sent.
+/// How long after it was sent a release may be reported as unread.
 const UNREAD_REPORT_WINDOW: Duration = Duration::from_secs(1);
-/// After the order to stop, set-ups arrive for 0.4 s on new connections and 0.2 s more on open ones.
+/// Shortest time from the request to stop to the end of the process: set-ups arrive for 0.4 s on new connections,
+/// and for another 0.2 s on open ones.
 const MIN_STOP_TIME: Duration = Duration::from_millis(700);
-/// Calls that stand may go on for this long after it, unless the platform ends the process before: they are cut with
-/// it, and most of them end by then.
+/// Longest time for which established calls delay the end of the process after a request to stop. Most of them end
+/// by then; the rest are cut with the process, as they are if the platform ends it earlier.
 const MAX_STOP_TIME: Duration = Duration::from_secs(10);
-/// A call that is over is remembered for this long, so that what an exchange still says of it is told from
-/// news of a call that stood before this softswitch last started.
+/// How long the id of an ended call is kept. It distinguishes late messages about that call from messages about a
+/// call that was established before this process started.
 const ENDED_CALL_RETENTION: Duration = Duration::from_secs(30);
-/// A process that has just started may say that it can serve with ways still being opened after this time.
+/// Time after its start from which a process may be ready although connections to exchanges are still being opened.
 const MAX_CONNECT_WAIT: Duration = Duration::from_secs(1);
-/// From this long after the order to drain on, callers' connections are closed: until then the front sends new
-/// ones, and finds out what the test says.
+/// Time after the start of a drain from which caller connections are closed. The front opens new ones until a health
+/// check has failed.
 const DRAIN_CLOSE_DELAY: Duration = Duration::from_millis(300);
-/// Time between two looks at what is still open.
+/// Interval between two checks for connections that can be closed.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Until this long after the order one connection is kept while calls stand: releases are owed within 1 s, and
-/// while the front sends nobody, callers may not connect for long. Then it is emptied too: at 4 s none may be open
-/// that is idle or that brought a call less than 2 s before.
+/// Time after the start of a drain until which one connection is kept open for the releases of established calls:
+/// releases are due within 1 s, and callers may not connect again for a long time. Then that connection is closed
+/// too, because 4 s after the start no connection may be idle, nor carry a set-up from the 2 s before.
 const DRAIN_KEEP_TIME: Duration = Duration::from_millis(3_700);
-const DRAIN_RECENT_TIME: Duration = Duration::from_millis(1_900);
-/// Where the resolver says nothing for this long, the list of the start has to do.
+/// A connection that carried a message later than this after the start of a drain is closed with its open set-ups
+/// once `DRAIN_KEEP_TIME` is over.
+const DRAIN_LATE_MESSAGE_TIME: Duration = Duration::from_millis(1_900);
+/// Time after its start from which a process may be ready although the resolver has not confirmed the list of
+/// exchanges.
 const MAX_LIST_WAIT: Duration = Duration::from_secs(3);
-/// An exchange that is gone is forgotten after this long.
+/// How long the state of an exchange is kept after its removal from the list.
 const REMOVED_EXCHANGE_RETENTION: Duration = Duration::from_secs(30);
 
-/// Milliseconds of a span, as the module counts them.
-pub fn duration_to_ms(span: Duration) -> f64 {
-    span.as_secs_f64() * 1_000.0
+/// Converts a duration to milliseconds.
+pub fn duration_to_ms(duration: Duration) -> f64 {
+    duration.as_secs_f64() * 1_000.0
 }
 
-/// Longest span in seconds. It holds times since 1970 too: a bound of 1e9 made every start of an exchange lie
-/// in 2001, so that none ever counted as cold.
+/// Longest duration that [`duration_from_ms`] returns, in seconds. It must exceed the Unix time: a limit of 1e9 put
+/// the start of every exchange in the year 2001, and none was ever treated as cold.
 const MAX_DURATION_S: f64 = 1e11;
 
-/// A span of the module's milliseconds; whatever is no time at all counts as zero.
+/// Converts milliseconds to a duration; 0 for a negative value and for one that is not finite.
 pub fn duration_from_ms(ms: f64) -> Duration {
     let seconds = if ms.is_finite() { ms / 1_000.0 } else { 0.0 };
     Duration::from_secs_f64(seconds.clamp(0.0, MAX_DURATION_S))
 }
 
-/// The module's clock: milliseconds since 1970.
+/// Unix time in milliseconds, the clock of the decision module.
 fn unix_ms(at: SystemTime) -> f64 {
-    duration_to_ms(duration_between(UNIX_EPOCH, at))
+    duration_to_ms(elapsed(UNIX_EPOCH, at))
 }
 
 /// Time from one moment to a later one; zero if the clock was set back between them.
-fn duration_between(from: SystemTime, to: SystemTime) -> Duration {
+fn elapsed(from: SystemTime, to: SystemTime) -> Duration {
     to.duration_since(from).unwrap_or_default()
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
-    /// Of the module.
+    /// A timer of the decision module, with its tag.
     Controller(u64),
-    /// The time-out of this attempt of a call.
+    /// An attempt of a call times out.
     AttemptTimeout(CallId, u32),
-    /// The caller's time is over.
+    /// The decision module is late with the final answer of a call.
     DecisionOverdue(CallId),
-    /// An exchange may be dialled again.
+    /// Open another connection to an unreachable exchange.
     Reconnect(ExchangeId),
-    /// The last words of an exchange that is gone.
+    /// Close the connections to an exchange that was removed from the list, and later drop its state.
     RemoveExchange(ExchangeId),
-    /// Look whether an exchange is still there.
+    /// Periodic check of the connection to an exchange.
     CheckExchange(ExchangeId),
-    /// Look whether anything has come on a way since a set-up went out on it.
+    /// Check whether anything was received on a connection since a set-up was sent on it.
     CheckSilence(ExchangeConnId),
-    /// A connection from callers may have been idle for too long.
+    /// Check whether a caller connection is idle.
     CheckIdle(CallerConnId),
-    /// Releases have waited for a better way.
+    /// Send the releases that wait for a better caller connection.
     PendingReleases,
-    /// The drain may be over.
+    /// Check whether the process can exit after a request to stop.
     CheckStopped,
-    /// Close what callers hold open (since this order to drain).
+    /// Close caller connections that are no longer in use, for the drain that started at this time.
     DrainCallers(SystemTime),
-    /// The process may be ready to serve.
+    /// Check whether the process can begin to serve.
     CheckReady,
-    /// Nothing may be left to stay for.
+    /// Close idle caller connections and exit once nothing is left, because a successor serves.
     StopForSuccessor,
-    /// Time to record what the decisions believe.
+    /// Record the expected delays of the exchanges.
     Sample,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Taken, nothing out.
+    /// No attempt is open.
     Waiting,
-    /// One attempt out; no way if it still waits for one.
+    /// One attempt is open; `conn` is `None` until there is a connection to send it on.
     Attempting { exchange: ExchangeId, sent_at: SystemTime, conn: Option<ExchangeConnId> },
-    /// It stands.
+    /// The call is established.
     Established { exchange: ExchangeId },
 }
 
@@ -171,7 +183,7 @@
     deadline: SystemTime,
     phase: Phase,
     attempt_count: u32,
-    /// Until when what the last attempt took may not be free (release pause).
+    /// End of the release pause: until then the circuits of the last attempt may still be taken.
     paused_until: Option<SystemTime>,
     /// Whether the last attempt found the number busy.
     busy: bool,
@@ -179,21 +191,22 @@
     last_attempt: Option<AttemptResult>,
 }
 
-/// A way to callers.
+/// A caller connection.
 #[derive(Debug)]
 struct CallerConn {
     front: Front,
-    /// When it came up or last brought a line.
+    /// When it opened or last carried a message from the caller.
     last_received: SystemTime,
-    /// It has brought a line.
+    /// Whether it has carried a message about a call.
     sent_call_message: bool,
-    /// It has brought tests and nothing else: whoever only tests reads nothing that concerns calls.
+    /// Whether it has carried health checks only. The sender of those reads no messages about calls.
     health_checks_only: bool,
-    /// A call that came on it was answered by an exchange.
+    /// Whether an exchange answered a call that arrived on it.
     served_call: bool,
     malformed_count: u32,
 }
 
+/// A release that waits for a caller connection.
 #[derive(Clone)]
 struct PendingRelease {
     queued_at: SystemTime,
@@ -203,11 +216,12 @@
     message: CallerMessage,
 }
 
-/// All state of a softswitch.
+/// The state of a softswitch.
 pub struct Engine {
     name: String,
     controller: Controller,
     now: SystemTime,
+    /// Name, width and longest wait of each class.
     classes: Vec<(String, f64, Duration)>,
     home: Option<Number>,
     attempt_limit: u32,
@@ -223,48 +237,52 @@
     last_exchange: u32,
     caller_conns: BTreeMap<CallerConnId, CallerConn>,
     max_caller_conns: usize,
-    /// Descriptors that the softswitch may hold.
+    /// File descriptors that the softswitch may use.
     max_descriptors: usize,
-    /// Set-ups without an answer, and bytes of their descriptions.
+    /// Number of set-ups without an answer.
     open_setups: usize,
+    /// Size of their descriptions, in bytes.
     open_description_bytes: usize,
     max_retry_after: Duration,
     pending_releases: VecDeque<PendingRelease>,
-    /// A timer runs for them.
+    /// Whether a timer for `pending_releases` is set.
     release_timer_set: bool,
-    /// Releases that were sent a moment ago, and on which way: it may turn out that nobody read them.
+    /// Releases sent a short time ago, with time and connection: their caller may not have read them.
     sent_releases: VecDeque<(SystemTime, CallerConnId, PendingRelease)>,
-    /// Calls that are over, oldest first, and the same for looking them up.
+    /// Calls that ended a short time ago, oldest first.
     ended_calls: VecDeque<(SystemTime, CallUid)>,
+    /// The ids in `ended_calls`.
     ended_call_uids: HashSet<CallUid>,
     last_probe: u64,
     timers: BinaryHeap<Reverse<(SystemTime, u64, Timer)>>,
     timer_count: u64,
+    /// Events that the decision module has yet to handle.
     controller_events: VecDeque<Event>,
+    /// When the request to stop arrived.
     stopping_since: Option<SystemTime>,
-    /// Since when an operator has callers sent away.
+    /// When an operator started the drain that is in progress.
     draining_since: Option<SystemTime>,
-    /// The other process of this softswitch, while there is one.
+    /// Role of the sibling process, while there is one.
     sibling: Option<Role>,
-    /// It takes connections from callers; one that takes the place of another does so once it is ready.
+    /// Whether it accepts caller connections; a successor does so once it is ready.
     accepting_callers: bool,
-    /// It was told to stop, and another process has taken its place.
+    /// Whether it was asked to stop while a successor serves.
     stopping_for_successor: bool,
     list_serial: u32,
     figures: Figures,
     record_buffer: RecordBuffer,
-    /// Places of the free circuits and of the size of the group in a report.
+    /// Indexes of the free circuits and of the group size in a load report.
     group_fields: (Option<usize>, Option<usize>),
-    /// Since when it runs, and whether its list of exchanges is known to be the latest.
     started_at: SystemTime,
+    /// Whether the resolver has confirmed that the list of exchanges is current.
     list_confirmed: bool,
 }
 
 impl Engine {
-    /// A softswitch that has just started, and what it asks for first.
+    /// Creates the state of a softswitch that has just started, and requests its first effects.
     ///
     /// # Errors
-    /// If the module can make no decisions with these settings.
+    /// If the decision module rejects the settings.
     pub fn new(config: &Config, now: SystemTime, effects: &mut Vec<Effect>) -> Result<Self, SettingsError> {
         let mut engine = Self {
             name: config.name.clone(),
@@ -294,7 +312,8 @@
             sent_releases: VecDeque::new(),
             ended_calls: VecDeque::new(),
             ended_call_uids: HashSet::new(),
-            // Ids of tests are its own: no other process with the same seed may have had them.
+            // Probe ids start at a value made from the seed, which differs between the processes of a replacement,
+            // so that the two never use the same id.
             last_probe: !config.seed,
             timers: BinaryHeap::new(),
             timer_count: 0,
@@ -317,34 +336,39 @@
         Ok(engine)
     }
 
-    /// When it wants to be woken if nothing happens before.
+    /// When the next timer expires; the caller must pass an input by then.
     pub fn next_wake(&self) -> Option<SystemTime> {
         self.timers.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// Calls that stand or wait, for the log.
+    /// Number of open and established calls.
     pub fn call_count(&self) -> usize {
         self.calls.len()
     }
 
-    /// Everything that it holds, counted: what must not grow for ever.
+    /// Number of entries in all collections, which must not grow without bound.
     pub fn entry_count(&self) -> usize {
-        let peers =
+        let exchanges =
             self.exchanges.values().map(|exchange| 1 + exchange.pending_releases.len()).sum::<usize>();
-        let names = self.call_ids.len()
+        let ids = self.call_ids.len()
             + self.exchange_ids.len()
             + self.ended_calls.len()
             + self.ended_call_uids.len();
-        let ways = self.exchange_conns.len()
+        let conns_and_releases = self.exchange_conns.len()
             + self.caller_conns.len()
             + self.pending_releases.len()
             + self.sent_releases.len();
-        self.calls.len() + peers + names + ways + self.timers.len() + self.controller_events.len()
+        self.calls.len()
+            + exchanges
+            + ids
+            + conns_and_releases
+            + self.timers.len()
+            + self.controller_events.len()
     }
 
-    /// Takes one input at this time and adds what follows from it. Timers that are due ring first.
+    /// Handles one input at this time and appends the resulting effects. Timers that have expired are handled first.
     pub fn handle(&mut self, now: SystemTime, input: Input, effects: &mut Vec<Effect>) {
-        // The system's clock may be set back; time here never runs backwards.
+        // The system clock may be set back; the engine's time never decreases.
         self.now = self.now.max(now);
         while let Some(Reverse((at, _, timer))) = self.timers.peek().copied()
             && at <= self.now
@@ -368,10 +392,10 @@
             Input::CallerStreamCorrupt { caller_conn } => self.abort_caller_conn(caller_conn, effects),
             Input::CallerDisconnected { caller_conn } => self.caller_disconnected(caller_conn, effects),
             Input::CallerMessagesUnread { caller_conn } => {
-                // Guards against the loss of a release that crossed the caller's close of the connection.
-                let unheard = self.sent_releases.iter().filter(|(_, on, _)| *on == caller_conn);
-                self.pending_releases.extend(unheard.map(|(_, _, held)| held.clone()));
-                self.sent_releases.retain(|(_, on, _)| *on != caller_conn);
+                // A release that was sent while the caller closed the connection would otherwise be lost.
+                let unread = self.sent_releases.iter().filter(|(_, conn, _)| *conn == caller_conn);
+                self.pending_releases.extend(unread.map(|(_, _, release)| release.clone()));
+                self.sent_releases.retain(|(_, conn, _)| *conn != caller_conn);
                 self.send_pending_releases(effects);
             }
             Input::SetUp { caller_conn, call, setup } => {
@@ -387,10 +411,11 @@
                 self.hang_up(caller_conn, call, cause, effects);
             }
             Input::HealthCheck { caller_conn, call } => {
-                // Guards against the loss of releases on the connections that the front only tests with.
-                if let Some(held) = self.caller_conns.get_mut(&caller_conn) {
-                    held.health_checks_only = !held.sent_call_message;
-                    held.last_received = self.now;
+                // Releases must not be sent on connections that the front uses for health checks only: it would
+                // not read them.
+                if let Some(conn) = self.caller_conns.get_mut(&caller_conn) {
+                    conn.health_checks_only = !conn.sent_call_message;
+                    conn.last_received = self.now;
                 }
                 let passed = self.stopping_since.is_none() && self.draining_since.is_none();
                 effects.push(Effect::ToCaller {
@@ -411,7 +436,7 @@
                 }
                 (self.list_confirmed, self.list_serial) = (true, serial);
             }
-            Input::SiblingMessage(word) => self.handle_sibling_message(word, effects),
+            Input::SiblingMessage(message) => self.handle_sibling_message(message, effects),
             Input::SiblingDisconnected => self.sibling_disconnected(effects),
             Input::AttemptsWritten { attempts } => self.figures.attempted(attempts),
             Input::OperatorRequest { request_id, request } => {
@@ -449,8 +474,8 @@
         }
     }
 
-    fn handle_operator_request(&mut self, order: OperatorRequest) -> OperatorReply {
-        match order {
+    fn handle_operator_request(&mut self, request: OperatorRequest) -> OperatorReply {
+        match request {
             OperatorRequest::Readiness if self.is_ready() => OperatorReply::Done,
             OperatorRequest::Readiness => OperatorReply::NotReady,
             OperatorRequest::Metrics => {
@@ -476,53 +501,57 @@
                 if self.draining_since.take().is_some() {
                     self.record_drain(false, DrainSource::Operator);
                 }
-                // Callers come back in a moment: what waits for them is not told to whoever is there by chance.
+                // Callers connect again soon. Restarting the wait keeps pending releases from being sent on a
+                // connection that happens to be open now and may not be read.
                 let now = self.now;
-                self.pending_releases
-                    .iter_mut()
-                    .for_each(|held| (held.queued_at, held.expires_at) = (now, now + RELEASE_EXPIRY));
+                self.pending_releases.iter_mut().for_each(|release| {
+                    (release.queued_at, release.expires_at) = (now, now + RELEASE_EXPIRY)
+                });
                 OperatorReply::Done
             }
         }
     }
 
-    /// Whether this process can serve: it does from its start on, but the list of that may be old news, and its
-    /// ways to the exchanges take a moment.
+    /// Whether this process is ready to serve. It handles calls from its start on, but at first its list of exchanges
+    /// may be out of date and connections to exchanges are still being opened.
     fn is_ready(&self) -> bool {
-        let age = duration_between(self.started_at, self.now);
-        let dials = |exchange: &Exchange| matches!(exchange.conn, ConnState::Connecting(_));
+        let age = elapsed(self.started_at, self.now);
+        let connecting = |exchange: &Exchange| matches!(exchange.conn, ConnState::Connecting(_));
         (self.list_confirmed || age >= MAX_LIST_WAIT)
-            && (age >= MAX_CONNECT_WAIT || !self.exchanges.values().any(dials))
+            && (age >= MAX_CONNECT_WAIT || !self.exchanges.values().any(connecting))
     }
 
-    /// Takes a new configuration whole, or none of it. The list of exchanges is not read again: it lives on
-    /// with its serial, and the resolver tells what has changed since.
+    /// Applies a new configuration, completely or not at all. The list of exchanges and its serial are kept; the
+    /// resolver reports changes since then.
     fn reload(&mut self, config: Box<Config>, effects: &mut Vec<Effect>) {
-        let place = |name: &String| config.classes.iter().position(|(class, _)| class == name);
-        let places: Vec<Option<usize>> = self.classes.iter().map(|(name, ..)| place(name)).collect();
-        if let Err(error) = self.controller.reconfigure(config.settings.clone(), &places) {
-            effects.push(Effect::Log(format!("configuration refused, the old one stays: {error}")));
+        let new_index = |name: &String| config.classes.iter().position(|(class, _)| class == name);
+        let new_indexes: Vec<Option<usize>> = self.classes.iter().map(|(name, ..)| new_index(name)).collect();
+        if let Err(error) = self.controller.reconfigure(config.settings.clone(), &new_indexes) {
+            effects.push(Effect::Log(format!(
+                "configuration refused, the previous one stays in force: {error}"
+            )));
             return;
         }
         self.configure(&config);
         self.record_classes();
-        effects.push(Effect::Log(format!("configuration read again, resolver at {}", config.names)));
+        effects.push(Effect::Log(format!("configuration reloaded; resolver at {}", config.names)));
         effects.push(Effect::Reconfigure(config));
     }
 
     fn configure(&mut self, config: &Config) {
-        let set = &config.settings;
-        let classes = config.classes.iter().zip(&set.classes);
-        self.classes = classes.map(|((name, most), class)| (name.clone(), class.width, *most)).collect();
+        let settings = &config.settings;
+        let classes = config.classes.iter().zip(&settings.classes);
+        self.classes =
+            classes.map(|((name, max_wait), class)| (name.clone(), class.width, *max_wait)).collect();
         self.figures.know(config.classes.iter().map(|(name, _)| name.clone()));
-        self.home = set.home;
-        self.attempt_limit = set.attempt_limit;
-        self.release_pause = duration_from_ms(set.release_pause_ms);
-        self.drain_grace = duration_from_ms(set.drain_grace_ms);
-        self.max_retry_after = duration_from_ms(set.max_retry_after_ms);
+        self.home = settings.home;
+        self.attempt_limit = settings.attempt_limit;
+        self.release_pause = duration_from_ms(settings.release_pause_ms);
+        self.drain_grace = duration_from_ms(settings.drain_grace_ms);
+        self.max_retry_after = duration_from_ms(settings.max_retry_after_ms);
         self.max_descriptors = config.sockets;
-        let place = |field| set.report_fields.iter().position(|known| *known == field);
-        self.group_fields = (place(ReportField::FreeCircuits), place(ReportField::TotalCircuits));
+        let index = |field| settings.report_fields.iter().position(|known| *known == field);
+        self.group_fields = (index(ReportField::FreeCircuits), index(ReportField::TotalCircuits));
         self.apply_limits();
     }
 
@@ -536,11 +565,14 @@
             Timer::Controller(tag) => self.controller_events.push_back(Event::TimerExpired { tag }),
             Timer::AttemptTimeout(id, attempt) => self.attempt_timed_out(id, attempt, effects),
             Timer::DecisionOverdue(id) => {
-                // Guards rule 1 against the module: its answer is overdue.
+                // The call gets its final answer even if the decision module fails to give one.
                 if let Some(call) = self.calls.get(&id)
                     && !matches!(call.phase, Phase::Established { .. })
                 {
-                    effects.push(Effect::Log(format!("{:?} overdue, failed for the module", call.uid)));
+                    effects.push(Effect::Log(format!(
+                        "no final decision on call {:?} at its deadline; the call is failed",
+                        call.uid
+                    )));
                     self.withdraw_attempt(id, effects);
                     self.end_call_with_reason(
                         id,
@@ -563,30 +595,29 @@
                 self.send_pending_releases(effects);
             }
             Timer::CheckStopped => self.exit_if_done(effects),
-            Timer::DrainCallers(order) => self.drain_caller_conns(order, effects),
-            // What it waits for is looked at after each input.
+            Timer::DrainCallers(drain_start) => self.drain_caller_conns(drain_start, effects),
+            // `handle` checks the readiness after every input.
             Timer::CheckReady => {}
             Timer::StopForSuccessor => self.continue_stop_for_successor(effects),
             Timer::Sample => self.record_samples(),
         }
     }
 
-    /// Sends callers away while a drain lasts: closes each connection of theirs that holds nothing open.
-    fn drain_caller_conns(&mut self, order: SystemTime, effects: &mut Vec<Effect>) {
-        if self.draining_since != Some(order) {
+    /// Closes the caller connections without an open set-up during a drain.
+    fn drain_caller_conns(&mut self, drain_start: SystemTime, effects: &mut Vec<Effect>) {
+        if self.draining_since != Some(drain_start) {
             return;
         }
-        self.set_timer(DRAIN_CHECK_INTERVAL, Timer::DrainCallers(order));
-        let late = duration_between(order, self.now) >= DRAIN_KEEP_TIME;
-        let in_use = |caller_conn: &CallerConn| {
-            late && duration_between(order, caller_conn.last_received) >= DRAIN_RECENT_TIME
-        };
-        let links: Vec<(CallerConnId, bool)> =
-            self.caller_conns.iter().map(|(id, caller_conn)| (*id, in_use(caller_conn))).collect();
-        let open = self.conns_with_open_setups();
+        self.set_timer(DRAIN_CHECK_INTERVAL, Timer::DrainCallers(drain_start));
+        let late = elapsed(drain_start, self.now) >= DRAIN_KEEP_TIME;
+        let in_use =
+            |conn: &CallerConn| late && elapsed(drain_start, conn.last_received) >= DRAIN_LATE_MESSAGE_TIME;
+        let conns: Vec<(CallerConnId, bool)> =
+            self.caller_conns.iter().map(|(id, conn)| (*id, in_use(conn))).collect();
+        let with_open_setups = self.conns_with_open_setups();
         let kept = if late { None } else { self.conn_kept_for_releases() };
-        for (caller_conn, in_use) in links {
-            if !open.contains(&caller_conn) && kept != Some(caller_conn) {
+        for (caller_conn, in_use) in conns {
+            if !with_open_setups.contains(&caller_conn) && kept != Some(caller_conn) {
                 self.close_draining_conn(caller_conn, effects);
             } else if in_use {
                 self.abort_caller_conn(caller_conn, effects);
@@ -594,51 +625,48 @@
         }
     }
 
-    /// The connection that goes last, because the ends of the calls that stand are told on it.
+    /// The connection that a drain closes last, because the releases of established calls are sent on it.
     fn conn_kept_for_releases(&self) -> Option<CallerConnId> {
-        let stands =
+        let established =
             |call: &Call| call.front == Front::JsonLines && matches!(call.phase, Phase::Established { .. });
-        let any = self.calls.values().any(stands);
-        let callers = self.caller_conns.iter().filter(|(_, caller_conn)| {
-            any && caller_conn.front == Front::JsonLines && caller_conn.sent_call_message
-        });
-        callers
-            .max_by_key(|(id, caller_conn)| (caller_conn.served_call, std::cmp::Reverse(**id)))
-            .map(|(id, _)| *id)
+        let any = self.calls.values().any(established);
+        let candidates = self
+            .caller_conns
+            .iter()
+            .filter(|(_, conn)| any && conn.front == Front::JsonLines && conn.sent_call_message);
+        candidates.max_by_key(|(id, conn)| (conn.served_call, std::cmp::Reverse(**id))).map(|(id, _)| *id)
     }
 
-    /// Closes a connection of callers that are being sent away; no set-up is open on it.
-    fn close_draining_conn(&self, id: CallerConnId, effects: &mut Vec<Effect>) {
-        let Some(caller_conn) =
-            self.caller_conns.get(&id).filter(|caller_conn| caller_conn.front == Front::JsonLines)
+    /// Closes a caller connection without an open set-up, if a drain or a successor requires it.
+    fn close_draining_conn(&self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
+        let Some(conn) = self.caller_conns.get(&caller_conn).filter(|conn| conn.front == Front::JsonLines)
         else {
             return;
         };
-        let leaving = self.stopping_for_successor
-            || self
-                .draining_since
-                .is_some_and(|order| duration_between(order, self.now) >= DRAIN_CLOSE_DELAY);
-        // One that has just come has something to say.
-        if leaving
-            && (caller_conn.sent_call_message
-                || caller_conn.health_checks_only
-                || duration_between(caller_conn.last_received, self.now) >= DRAIN_CLOSE_DELAY)
+        let closing = self.stopping_for_successor
+            || self.draining_since.is_some_and(|start| elapsed(start, self.now) >= DRAIN_CLOSE_DELAY);
+        // On a connection that has just opened, the first message is still to come.
+        if closing
+            && (conn.sent_call_message
+                || conn.health_checks_only
+                || elapsed(conn.last_received, self.now) >= DRAIN_CLOSE_DELAY)
         {
-            effects.push(Effect::CloseCallerConnIfIdle { caller_conn: id });
+            effects.push(Effect::CloseCallerConnIfIdle { caller_conn });
         }
     }
 
-    /// Ways to callers on which set-ups are open.
+    /// The caller connections with open set-ups.
     fn conns_with_open_setups(&self) -> HashSet<CallerConnId> {
         let open = self.calls.values().filter(|call| !matches!(call.phase, Phase::Established { .. }));
         open.map(|call| call.caller_conn).collect()
     }
 
-    /// A call has had its answer: its connection may have nothing more open.
+    /// Closes the connection of a call that was just answered, if a drain or a successor requires it and no other
+    /// set-up is open on it.
     fn close_answered_conn(&self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
         let kept = match self.draining_since {
-            Some(order) => {
-                duration_between(order, self.now) < DRAIN_KEEP_TIME
+            Some(start) => {
+                elapsed(start, self.now) < DRAIN_KEEP_TIME
                     && self.conn_kept_for_releases() == Some(caller_conn)
             }
             None if self.stopping_for_successor => false,
@@ -650,7 +678,7 @@
     }
 
     fn exit_if_done(&mut self, effects: &mut Vec<Effect>) {
-        let callers = || self.caller_conns.values().any(|caller_conn| caller_conn.front == Front::JsonLines);
+        let callers = || self.caller_conns.values().any(|conn| conn.front == Front::JsonLines);
         if self.stopping_for_successor
             && self.calls.is_empty()
             && self.pending_releases.is_empty()
@@ -659,9 +687,9 @@
             self.exit(effects);
         }
         let Some(start) = self.stopping_since else { return };
-        let gone_on = duration_between(start, self.now) >= MAX_STOP_TIME;
-        let stays = |call: &Call| !gone_on || !matches!(call.phase, Phase::Established { .. });
-        if !self.calls.values().any(stays) && duration_between(start, self.now) >= MIN_STOP_TIME {
+        let time_is_up = elapsed(start, self.now) >= MAX_STOP_TIME;
+        let delays_exit = |call: &Call| !time_is_up || !matches!(call.phase, Phase::Established { .. });
+        if !self.calls.values().any(delays_exit) && elapsed(start, self.now) >= MIN_STOP_TIME {
             self.exit(effects);
         }
     }
@@ -671,7 +699,7 @@
         effects.push(Effect::Exit);
     }
 
-    // ---- the module ----
+    // ---- decision module ----
 
     fn run_controller(&mut self, effects: &mut Vec<Effect>) {
         let mut actions = Vec::new();
@@ -696,11 +724,11 @@
                 );
             }
             Action::Fail { call } => {
-                let busy = self.calls.get(&call).is_some_and(|held| held.busy);
+                let busy = self.calls.get(&call).is_some_and(|call| call.busy);
                 self.end_call(call, CallerMessage::Failed { busy }, effects);
             }
             Action::Cancel { call, attempt } => {
-                if self.calls.get(&call).is_some_and(|held| held.attempt_count == attempt + 1) {
+                if self.calls.get(&call).is_some_and(|call| call.attempt_count == attempt + 1) {
                     self.cancel_attempt(call, effects);
                 }
             }
@@ -717,7 +745,7 @@
                 }
             }
             Action::Log { text } => effects.push(Effect::Log(text)),
-            // Softswitches have no way to talk to each other here, and the list comes unasked.
+            // There is no transport for messages between softswitches, and the resolver delivers the list unasked.
             Action::SendPeerMessage { .. } | Action::Subscribe | Action::FetchList => {}
         }
     }
@@ -731,42 +759,42 @@
         setup: SetUp,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(front) = self.caller_conns.get(&caller_conn).map(|caller_conn| caller_conn.front) else {
+        let Some(front) = self.caller_conns.get(&caller_conn).map(|conn| conn.front) else {
             return;
         };
         if self.call_ids.contains_key(&name) {
-            // A message under this id could be taken for the answer of the call that has it.
+            // A reply with this id could be mistaken for the answer to the call that already has the id.
             return self.abort_caller_conn(caller_conn, effects);
         }
         let class = self.classes.iter().position(|(class, ..)| *class == setup.class);
-        // What no caller of the class can mean must not reach an exchange, which would take it for good.
-        let fits = |class: &usize| {
-            let (_, width, most) = &self.classes[*class];
-            setup.remaining.is_none_or(|left| left <= *most) && setup.width.is_none_or(|w| w == *width)
+        // Values that are invalid for the class must not reach an exchange, which would accept them as they are.
+        let is_valid = |class: &usize| {
+            let (_, width, max_wait) = &self.classes[*class];
+            setup.remaining.is_none_or(|remaining| remaining <= *max_wait)
+                && setup.width.is_none_or(|w| w == *width)
         };
-        let Some(class) = class.filter(fits) else {
+        let Some(class) = class.filter(is_valid) else {
             return self.reject_malformed(caller_conn, name, effects);
         };
         let bytes = setup.description.as_ref().map_or(0, |text| text.len());
-        // Handsets have no front that stops sending: they are told themselves.
-        let sent_away =
-            (self.draining_since.is_some() || self.stopping_for_successor) && front == Front::Iax2;
-        if sent_away
+        // During a drain, set-ups of IAX2 are refused one by one: no front in between stops sending them.
+        let draining = (self.draining_since.is_some() || self.stopping_for_successor) && front == Front::Iax2;
+        if draining
             || self.open_setups >= MAX_OPEN_SETUPS
             || self.open_description_bytes + bytes > MAX_OPEN_DESCRIPTION_BYTES
         {
             self.figures.rejected(&setup.class);
-            let why = if sent_away { RefusalReason::Draining } else { RefusalReason::TooManySetUps };
-            self.record_refusal(name, why, self.max_retry_after);
+            let reason = if draining { RefusalReason::Draining } else { RefusalReason::TooManySetUps };
+            self.record_refusal(name, reason, self.max_retry_after);
             let message = CallerMessage::Refused { retry_after: self.max_retry_after };
             effects.push(Effect::ToCaller { caller_conn, call: name, message });
             return;
         }
         self.open_setups += 1;
         self.open_description_bytes += bytes;
-        let (width, most) = (self.classes[class].1, self.classes[class].2);
-        // The clock of the caller runs from the last byte of the set-up, not from when its turn came here.
-        let deadline = setup.received + setup.remaining.unwrap_or(most);
+        let (width, max_wait) = (self.classes[class].1, self.classes[class].2);
+        // The caller's waiting time starts when the last byte of the set-up was received, not when it is handled.
+        let deadline = setup.received + setup.remaining.unwrap_or(max_wait);
         self.last_call = self.last_call.wrapping_add(1);
         let id = self.last_call;
         self.controller_events.push_back(Event::Call(NewCall {
@@ -776,13 +804,13 @@
             width: setup.width.unwrap_or(width),
             dest: setup.dest,
             called_number: setup.called_number.as_deref().map_or(0, called_number_id),
-            remaining_ms: duration_to_ms(duration_between(self.now, deadline)),
+            remaining_ms: duration_to_ms(elapsed(self.now, deadline)),
             transit_from: setup.transit_from,
             advised_route: setup.advised_route,
             redial: false,
             was_cut: setup.was_cut,
         }));
-        self.set_timer(duration_between(self.now, deadline) + DECISION_GRACE, Timer::DecisionOverdue(id));
+        self.set_timer(elapsed(self.now, deadline) + DECISION_GRACE, Timer::DecisionOverdue(id));
         self.call_ids.insert(name, id);
         self.calls.insert(
             id,
@@ -807,23 +835,23 @@
         self.record_setup(id, setup.dest, setup.transit_from, setup.was_cut);
     }
 
-    /// The one place where a call is given back: its final answer, if one is owed, and all that it held.
-    fn end_call(&mut self, id: CallId, word: CallerMessage, effects: &mut Vec<Effect>) {
-        self.end_call_with_reason(id, word, None, effects);
+    /// Ends a call: sends its caller the final message, if one is due, and frees everything that the call holds.
+    fn end_call(&mut self, id: CallId, message: CallerMessage, effects: &mut Vec<Effect>) {
+        self.end_call_with_reason(id, message, None, effects);
     }
 
-    /// The same where the reason is not how its last attempt ended.
+    /// Ends a call like [`Self::end_call`], with a failure reason other than the end of its last attempt.
     fn end_call_with_reason(
         &mut self,
         id: CallId,
         message: CallerMessage,
-        why: Option<FailureReason>,
+        reason: Option<FailureReason>,
         effects: &mut Vec<Effect>,
     ) {
-        // Rule 1: a call that stands has had its answer; all that may follow is its release.
+        // An established call has had its one final answer; only its release may follow.
         let released = matches!(message, CallerMessage::Released { .. });
-        let stands = |call: &Call| matches!(call.phase, Phase::Established { .. });
-        if !released && self.calls.get(&id).is_some_and(stands) {
+        let established = |call: &Call| matches!(call.phase, Phase::Established { .. });
+        if !released && self.calls.get(&id).is_some_and(established) {
             return;
         }
         let Some(call) = self.remove_call(id, effects) else { return };
@@ -834,8 +862,8 @@
             }
             CallerMessage::Failed { busy } => {
                 self.figures.failed(&call.class);
-                match why {
-                    Some(why) => self.record_failure(call.uid, why),
+                match reason {
+                    Some(reason) => self.record_failure(call.uid, reason),
                     None => self.record_failed_call(&call, busy),
                 }
             }
@@ -850,7 +878,7 @@
         self.exit_if_done(effects);
     }
 
-    /// Takes a call off the books. An attempt of its still out is called off: a call that is over has none.
+    /// Removes a call and cancels its open attempt, if it has one.
     fn remove_call(&mut self, id: CallId, effects: &mut Vec<Effect>) -> Option<Call> {
         self.withdraw_attempt(id, effects);
         let call = self.calls.remove(&id)?;
@@ -861,94 +889,89 @@
         if self.ended_call_uids.insert(call.uid) {
             self.ended_calls.push_back((self.now, call.uid));
         }
-        // The module may still hold it (overdue, link lost); it passes over an id it has ended itself.
+        // The decision module may still know the call, for instance when the caller connection was lost. It ignores
+        // the event for a call that it has ended itself.
         self.controller_events.push_back(Event::Abandoned { call: id });
         Some(call)
     }
 
-    /// Forgets calls that have been over for long.
+    /// Drops ended calls and sent releases whose retention time is over.
     fn expire_old_entries(&mut self) {
-        while let Some((at, name)) = self.ended_calls.front().copied()
-            && duration_between(at, self.now) > ENDED_CALL_RETENTION
+        while let Some((at, uid)) = self.ended_calls.front().copied()
+            && elapsed(at, self.now) > ENDED_CALL_RETENTION
         {
             self.ended_calls.pop_front();
-            self.ended_call_uids.remove(&name);
+            self.ended_call_uids.remove(&uid);
         }
         let now = self.now;
-        self.sent_releases.retain(|(sent, ..)| duration_between(*sent, now) <= UNREAD_REPORT_WINDOW);
+        self.sent_releases.retain(|(sent, ..)| elapsed(*sent, now) <= UNREAD_REPORT_WINDOW);
     }
 
+    /// Returns what a set-up without an answer counted towards the limits.
     fn setup_closed(&mut self, description: Option<&Arc<str>>) {
         self.open_setups = self.open_setups.saturating_sub(1);
         self.open_description_bytes =
             self.open_description_bytes.saturating_sub(description.map_or(0, |text| text.len()));
     }
 
-    fn pending_release(&self, front: Front, call: CallUid, word: CallerMessage) -> PendingRelease {
-        PendingRelease {
-            queued_at: self.now,
-            expires_at: self.now + RELEASE_EXPIRY,
-            front,
-            call,
-            message: word,
-        }
+    fn pending_release(&self, front: Front, call: CallUid, message: CallerMessage) -> PendingRelease {
+        PendingRelease { queued_at: self.now, expires_at: self.now + RELEASE_EXPIRY, front, call, message }
     }
 
-    /// Releases a call towards its caller: on the way that its set-up came on, else on one on which calls were
-    /// served or at least came, else, after a moment, on any, else on the next.
-    fn send_release(&mut self, first: CallerConnId, held: PendingRelease, effects: &mut Vec<Effect>) {
-        let waited = duration_between(held.queued_at, self.now) >= PREFERRED_CONN_WAIT;
+    /// Sends a release to a caller: on the connection that the set-up arrived on; otherwise on one on which calls were
+    /// served or at least arrived; otherwise, after `PREFERRED_CONN_WAIT`, on any connection of the front. While there
+    /// is none, the release is queued.
+    fn send_release(&mut self, own_conn: CallerConnId, release: PendingRelease, effects: &mut Vec<Effect>) {
+        let waited = elapsed(release.queued_at, self.now) >= PREFERRED_CONN_WAIT;
         let of_front = self
             .caller_conns
             .iter()
-            .filter(|(_, caller_conn)| caller_conn.front == held.front && !caller_conn.health_checks_only);
-        // While callers are sent away, who comes and says nothing is none of those that calls stand for.
+            .filter(|(_, conn)| conn.front == release.front && !conn.health_checks_only);
+        // A connection that opens during a drain and carries no call does not belong to the caller of an established
+        // call.
         let waited = waited && self.draining_since.is_none();
-        let silent = |caller_conn: &CallerConn| {
-            waited && duration_between(caller_conn.last_received, self.now) >= PREFERRED_CONN_WAIT
-        };
-        let good = of_front.filter(|(_, caller_conn)| {
-            caller_conn.sent_call_message || caller_conn.front == Front::Iax2 || silent(caller_conn)
-        });
-        let good = good.max_by_key(|(_, caller_conn)| {
-            (caller_conn.served_call, caller_conn.sent_call_message, caller_conn.last_received)
-        });
-        let caller_conn = if self.caller_conns.contains_key(&first) {
-            Some(first)
+        let silent =
+            |conn: &CallerConn| waited && elapsed(conn.last_received, self.now) >= PREFERRED_CONN_WAIT;
+        let usable =
+            of_front.filter(|(_, conn)| conn.sent_call_message || conn.front == Front::Iax2 || silent(conn));
+        let best =
+            usable.max_by_key(|(_, conn)| (conn.served_call, conn.sent_call_message, conn.last_received));
+        let caller_conn = if self.caller_conns.contains_key(&own_conn) {
+            Some(own_conn)
         } else {
-            good.map(|(caller_conn, _)| *caller_conn)
+            best.map(|(caller_conn, _)| *caller_conn)
         };
         let Some(caller_conn) = caller_conn else {
             let now = self.now;
-            // While callers are sent away there may be no way for long.
-            self.pending_releases.retain(|held| held.expires_at > now || self.draining_since.is_some());
-            if self.successor_serves() && held.front == Front::JsonLines {
-                let cut = held.message == CallerMessage::Released { cut: true };
-                return effects.push(Effect::ToSibling(SiblingMessage::Release { call: held.call, cut }));
+            // During a drain there may be no caller connection for a long time, so nothing expires.
+            self.pending_releases.retain(|pending| pending.expires_at > now || self.draining_since.is_some());
+            if self.successor_serves() && release.front == Front::JsonLines {
+                let cut = release.message == CallerMessage::Released { cut: true };
+                return effects.push(Effect::ToSibling(SiblingMessage::Release { call: release.call, cut }));
             }
             if !std::mem::replace(&mut self.release_timer_set, true) {
                 self.set_timer(PREFERRED_CONN_WAIT, Timer::PendingReleases);
             }
-            self.pending_releases.push_back(held);
+            self.pending_releases.push_back(release);
             return;
         };
-        effects.push(Effect::ToCaller { caller_conn, call: held.call, message: held.message.clone() });
+        effects.push(Effect::ToCaller { caller_conn, call: release.call, message: release.message.clone() });
         let now = self.now;
-        self.sent_releases.retain(|(sent, ..)| duration_between(*sent, now) <= UNREAD_REPORT_WINDOW);
-        self.sent_releases.push_back((now, caller_conn, held));
+        self.sent_releases.retain(|(sent_at, ..)| elapsed(*sent_at, now) <= UNREAD_REPORT_WINDOW);
+        self.sent_releases.push_back((now, caller_conn, release));
     }
 
-    /// Sends what waits for a way to callers.
+    /// Tries to send the queued releases; those that have expired are dropped, except during a drain.
     fn send_pending_releases(&mut self, effects: &mut Vec<Effect>) {
-        for held in std::mem::take(&mut self.pending_releases) {
-            if held.expires_at > self.now || self.draining_since.is_some() {
-                self.send_release(NO_CALLER_CONN, held, effects);
+        for release in std::mem::take(&mut self.pending_releases) {
+            if release.expires_at > self.now || self.draining_since.is_some() {
+                self.send_release(NO_CALLER_CONN, release, effects);
             }
         }
     }
 
-    /// A connection from callers is closed. Set-ups open on it are lost, so they are given up; a standing
-    /// call belongs to no connection and stays.
+    /// Handles the close of a caller connection. The set-ups open on it are abandoned; an established call does not
+    /// depend on its connection and continues.
     fn caller_disconnected(&mut self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
         self.caller_conns.remove(&caller_conn);
         self.exit_if_done(effects);
@@ -1001,7 +1024,7 @@
                 (true, _) => None,
                 (false, true) => Some(2),
                 _ if caller_conn.sent_call_message || caller_conn.health_checks_only => Some(1),
-                _ if duration_between(caller_conn.last_received, self.now) >= NEW_CONN_GRACE => Some(0),
+                _ if elapsed(caller_conn.last_received, self.now) >= NEW_CONN_GRACE => Some(0),
                 _ => Some(3),
             };
         let platform =
@@ -1035,7 +1058,7 @@
         let Some(held) = self.caller_conns.get(&caller_conn) else { return };
         let limit =
             if held.sent_call_message || held.health_checks_only { IDLE_TIMEOUT } else { FIRST_LINE_TIMEOUT };
-        let idle = duration_between(held.last_received, self.now);
+        let idle = elapsed(held.last_received, self.now);
         if self.calls.values().any(|call| call.caller_conn == caller_conn) {
             self.set_timer(IDLE_TIMEOUT, Timer::CheckIdle(caller_conn));
         } else if idle < limit {
@@ -1141,7 +1164,7 @@
         let paused = call.paused_until.is_some_and(|until| self.now < until);
         let told_off = self.exchanges.get(&to).is_none_or(|p| match p.readiness {
             Readiness::Ready => false,
-            _ => duration_between(p.readiness_changed_at, self.now) >= self.drain_grace.mul_f64(0.9),
+            _ => elapsed(p.readiness_changed_at, self.now) >= self.drain_grace.mul_f64(0.9),
         });
         let own = self.exchanges.get(&to).is_some_and(|p| Some(p.number) == self.home);
         if paused || told_off || own || call.attempt_count > self.attempt_limit || self.now >= call.deadline {
@@ -1153,7 +1176,7 @@
             self.report_outcome(id, to, Outcome::NotSent, Reason::Unspecified, false);
             return;
         }
-        let left = duration_between(self.now, call.deadline);
+        let left = elapsed(self.now, call.deadline);
         let cap = if timeout.is_zero() { left } else { timeout.min(left) };
         let attempt = call.attempt_count;
         call.phase = Phase::Attempting { exchange: to, sent_at: self.now, conn: None };
@@ -1187,7 +1210,7 @@
         let message = ExchangeMessage::SetUp {
             class: call.class.clone(),
             called_number: call.called_number.clone(),
-            remaining: duration_between(now, call.deadline),
+            remaining: elapsed(now, call.deadline),
             description: call.description.clone(),
         };
         effects.push(Effect::ToExchange { exchange_conn, call: call.uid, message });
@@ -1263,7 +1286,7 @@
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
             call.paused_until = Some(self.now + self.release_pause);
         }
-        let (attempt, took) = (call.attempt_count - 1, duration_between(sent, self.now));
+        let (attempt, took) = (call.attempt_count - 1, elapsed(sent, self.now));
         let elapsed_ms = duration_to_ms(took);
         self.record_attempt_end(id, to, (outcome, reason), took);
         self.controller_events.push_back(Event::AttemptEnded {
@@ -1331,8 +1354,7 @@
         self.figures.completed(&std::mem::take(&mut call.class));
         call.called_number = None;
         let asked = call.description.take();
-        let (attempt, elapsed_ms) =
-            (call.attempt_count - 1, duration_to_ms(duration_between(sent, self.now)));
+        let (attempt, elapsed_ms) = (call.attempt_count - 1, duration_to_ms(elapsed(sent, self.now)));
         let (caller_conn, call) = (call.caller_conn, call.uid);
         self.setup_closed(asked.as_ref());
         if let Some(caller_conn) = self.caller_conns.get_mut(&caller_conn) {
@@ -1379,12 +1401,7 @@
             // A normal end before any answer: the call stood, its answer was lost, and now it is over. Guards
             // against setting it up once more, under an id that is over for the exchange and its caller.
             Phase::Attempting { sent_at: sent, .. } if outcome == Outcome::Completed => {
-                self.record_attempt_end(
-                    id,
-                    exchange,
-                    (Outcome::Completed, reason),
-                    duration_between(sent, self.now),
-                );
+                self.record_attempt_end(id, exchange, (Outcome::Completed, reason), elapsed(sent, self.now));
                 self.report_outcome(id, exchange, Outcome::Reset, Reason::Unspecified, true);
                 self.clear_attempt(id);
                 self.end_call(id, CallerMessage::Failed { busy: false }, effects);
--- a/src/engine/recording.rs
+++ b/src/engine/recording.rs
@@ -12,7 +12,7 @@
 
 use super::{
     Call, CallId, CallUid, Effect, Engine, ExchangeId, Front, ListEntry, Number, Outcome, Readiness, Reason,
-    Timer, duration_between,
+    Timer, elapsed,
 };
 
 /// Time between two looks at what the decisions believe of each exchange.
@@ -36,7 +36,7 @@
 }
 
 fn unix_us(at: SystemTime) -> u64 {
-    whole_us(duration_between(UNIX_EPOCH, at))
+    whole_us(elapsed(UNIX_EPOCH, at))
 }
 
 fn whole_ms(ms: f64) -> u32 {
@@ -135,7 +135,7 @@
                 class: class.unwrap_or_default() as u8,
                 dest,
                 transit_from,
-                remaining_ms: duration_between(engine.now, call.deadline).as_millis() as u32,
+                remaining_ms: elapsed(engine.now, call.deadline).as_millis() as u32,
                 was_cut,
                 front: match call.front {
                     Front::JsonLines => RecordedFront::JsonLines,
@@ -185,7 +185,7 @@
     pub(super) fn record_answer(&mut self, id: CallId, at: ExchangeId) {
         self.record(|engine| {
             let call = &engine.calls[&id];
-            let elapsed_us = whole_us(duration_between(call.received_at, engine.now));
+            let elapsed_us = whole_us(elapsed(call.received_at, engine.now));
             Event::Answered { call: recorded_uid(call.uid), exchange: engine.exchange_number(at), elapsed_us }
         });
     }
--- a/src/engine/status.rs
+++ b/src/engine/status.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::UNIX_EPOCH;
 
-use super::{ConnState, Engine, ExchangeId, Phase, Readiness, duration_between, duration_from_ms};
+use super::{ConnState, Engine, ExchangeId, Phase, Readiness, duration_from_ms, elapsed};
 use crate::ops::{Fleet, Seen};
 
 impl Engine {
@@ -32,7 +32,7 @@
                     ConnState::Up(exchange_conn) => self
                         .exchange_conns
                         .get(&exchange_conn)
-                        .map(|held| duration_between(held.last_received, self.now)),
+                        .map(|held| elapsed(held.last_received, self.now)),
                     _ => None,
                 };
                 let (out, standing) = counts.get(id).copied().unwrap_or_default();
@@ -63,8 +63,8 @@
         Fleet {
             softswitch: self.name.clone(),
             home: self.home,
-            at_us: duration_between(UNIX_EPOCH, self.now).as_micros() as u64,
-            up: duration_between(self.started_at, self.now),
+            at_us: elapsed(UNIX_EPOCH, self.now).as_micros() as u64,
+            up: elapsed(self.started_at, self.now),
             draining: self.draining_since.is_some()
                 || self.stopping_since.is_some()
                 || self.stopping_for_successor,
