--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -23,7 +23,7 @@
     Action, CallId, Event, ExchangeId, ListUpdateKind, ListedExchange, NewCall, Number, Outcome, Readiness,
     Reason, ReportField,
 };
-use crate::ops::{Figures, Now, OperatorReply, OperatorRequest};
+use crate::ops::{Gauges, Metrics, OperatorReply, OperatorRequest};
 
 mod exchanges;
 mod messages;
@@ -269,7 +269,7 @@
     /// Whether it was asked to stop while a successor serves.
     stopping_for_successor: bool,
     list_serial: u32,
-    figures: Figures,
+    metrics: Metrics,
     record_buffer: RecordBuffer,
     /// Indexes of the free circuits and of the group size in a load report.
     group_fields: (Option<usize>, Option<usize>),
@@ -323,15 +323,15 @@
             sibling: None,
             accepting_callers: true,
             stopping_for_successor: false,
-            list_serial: config.serial,
-            figures: Figures::default(),
+            list_serial: config.list_serial,
+            metrics: Metrics::default(),
             record_buffer: RecordBuffer::default(),
             group_fields: (None, None),
             started_at: now,
             list_confirmed: false,
         };
         engine.configure(config);
-        engine.apply_list(config.known.clone(), ListUpdateKind::Cached, effects);
+        engine.apply_list(config.exchanges.clone(), ListUpdateKind::Cached, effects);
         engine.run_controller(effects);
         Ok(engine)
     }
@@ -438,7 +438,7 @@
             }
             Input::SiblingMessage(message) => self.handle_sibling_message(message, effects),
             Input::SiblingDisconnected => self.sibling_disconnected(effects),
-            Input::AttemptsWritten { attempts } => self.figures.attempted(attempts),
+            Input::AttemptsWritten { attempts } => self.metrics.count_attempts(attempts),
             Input::OperatorRequest { request_id, request } => {
                 let reply = self.handle_operator_request(request);
                 effects.push(Effect::ToOperator { request_id, reply });
@@ -485,10 +485,10 @@
                     Some(exchange.number) != self.home && self.controller.avoids(*id)
                 };
                 let unavailable = listed().filter(|(id, exchange)| avoided(id, exchange)).count();
-                let now = Now { pending: self.calls.len(), members: listed().count(), unavailable };
-                OperatorReply::Metrics(self.figures.text(now))
+                let gauges = Gauges { pending: self.calls.len(), members: listed().count(), unavailable };
+                OperatorReply::Metrics(self.metrics.prometheus_text(gauges))
             }
-            OperatorRequest::Fleet => OperatorReply::Fleet(self.fleet().json()),
+            OperatorRequest::Fleet => OperatorReply::Fleet(self.fleet().to_json()),
             OperatorRequest::DrainStart => {
                 if self.draining_since.is_none() {
                     self.record_drain(true, DrainSource::Operator);
@@ -534,7 +534,7 @@
         }
         self.configure(&config);
         self.record_classes();
-        effects.push(Effect::Log(format!("configuration reloaded; resolver at {}", config.names)));
+        effects.push(Effect::Log(format!("configuration reloaded; resolver at {}", config.resolver)));
         effects.push(Effect::Reconfigure(config));
     }
 
@@ -543,13 +543,13 @@
         let classes = config.classes.iter().zip(&settings.classes);
         self.classes =
             classes.map(|((name, max_wait), class)| (name.clone(), class.width, *max_wait)).collect();
-        self.figures.know(config.classes.iter().map(|(name, _)| name.clone()));
+        self.metrics.add_classes(config.classes.iter().map(|(name, _)| name.clone()));
         self.home = settings.home;
         self.attempt_limit = settings.attempt_limit;
         self.release_pause = duration_from_ms(settings.release_pause_ms);
         self.drain_grace = duration_from_ms(settings.drain_grace_ms);
         self.max_retry_after = duration_from_ms(settings.max_retry_after_ms);
-        self.max_descriptors = config.sockets;
+        self.max_descriptors = config.max_sockets;
         let index = |field| settings.report_fields.iter().position(|known| *known == field);
         self.group_fields = (index(ReportField::FreeCircuits), index(ReportField::TotalCircuits));
         self.apply_limits();
@@ -783,7 +783,7 @@
             || self.open_setups >= MAX_OPEN_SETUPS
             || self.open_description_bytes + bytes > MAX_OPEN_DESCRIPTION_BYTES
         {
-            self.figures.rejected(&setup.class);
+            self.metrics.count_rejected(&setup.class);
             let reason = if draining { RefusalReason::Draining } else { RefusalReason::TooManySetUps };
             self.record_refusal(name, reason, self.max_retry_after);
             let message = CallerMessage::Refused { retry_after: self.max_retry_after };
@@ -857,11 +857,11 @@
         let Some(call) = self.remove_call(id, effects) else { return };
         match message {
             CallerMessage::Refused { retry_after } => {
-                self.figures.rejected(&call.class);
+                self.metrics.count_rejected(&call.class);
                 self.record_refused_call(&call, retry_after);
             }
             CallerMessage::Failed { busy } => {
-                self.figures.failed(&call.class);
+                self.metrics.count_failed(&call.class);
                 match reason {
                     Some(reason) => self.record_failure(call.uid, reason),
                     None => self.record_failed_call(&call, busy),
@@ -1351,7 +1351,7 @@
         let Phase::Attempting { sent_at: sent, .. } = call.phase else { return };
         call.phase = Phase::Established { exchange: exchange };
         // A call may stand for long; what only its set-up needed is given back.
-        self.figures.completed(&std::mem::take(&mut call.class));
+        self.metrics.count_completed(&std::mem::take(&mut call.class));
         call.called_number = None;
         let asked = call.description.take();
         let (attempt, elapsed_ms) = (call.attempt_count - 1, duration_to_ms(elapsed(sent, self.now)));
--- a/src/engine/recording.rs
+++ b/src/engine/recording.rs
@@ -201,7 +201,7 @@
     }
 
     pub(super) fn record_refusal(&mut self, name: CallUid, reason: RefusalReason, wait: Duration) {
-        self.figures.refused_for(reason.label());
+        self.metrics.count_refusal(reason.label());
         let retry_after_ms = wait.as_millis() as u32;
         self.record(|_| Event::Refused { call: recorded_uid(name), reason, retry_after_ms });
     }
