--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -755,14 +755,14 @@
     fn accept_setup(
         &mut self,
         caller_conn: CallerConnId,
-        name: CallUid,
+        uid: CallUid,
         setup: SetUp,
         effects: &mut Vec<Effect>,
     ) {
         let Some(front) = self.caller_conns.get(&caller_conn).map(|conn| conn.front) else {
             return;
         };
-        if self.call_ids.contains_key(&name) {
+        if self.call_ids.contains_key(&uid) {
             // A reply with this id could be mistaken for the answer to the call that already has the id.
             return self.abort_caller_conn(caller_conn, effects);
         }
@@ -774,7 +774,7 @@
                 && setup.width.is_none_or(|w| w == *width)
         };
         let Some(class) = class.filter(is_valid) else {
-            return self.reject_malformed(caller_conn, name, effects);
+            return self.reject_malformed(caller_conn, uid, effects);
         };
         let bytes = setup.description.as_ref().map_or(0, |text| text.len());
         // During a drain, set-ups of IAX2 are refused one by one: no front in between stops sending them.
@@ -785,9 +785,9 @@
         {
             self.metrics.count_rejected(&setup.class);
             let reason = if draining { RefusalReason::Draining } else { RefusalReason::TooManySetUps };
-            self.record_refusal(name, reason, self.max_retry_after);
+            self.record_refusal(uid, reason, self.max_retry_after);
             let message = CallerMessage::Refused { retry_after: self.max_retry_after };
-            effects.push(Effect::ToCaller { caller_conn, call: name, message });
+            effects.push(Effect::ToCaller { caller_conn, call: uid, message });
             return;
         }
         self.open_setups += 1;
@@ -811,11 +811,11 @@
             was_cut: setup.was_cut,
         }));
         self.set_timer(elapsed(self.now, deadline) + DECISION_GRACE, Timer::DecisionOverdue(id));
-        self.call_ids.insert(name, id);
+        self.call_ids.insert(uid, id);
         self.calls.insert(
             id,
             Call {
-                uid: name,
+                uid,
                 caller_conn,
                 front,
                 class: setup.class,
@@ -984,13 +984,11 @@
 
     fn caller_connected(&mut self, caller_conn: CallerConnId, front: Front, effects: &mut Vec<Effect>) {
         if front == Front::JsonLines {
-            let taken = self
-                .caller_conns
-                .values()
-                .filter(|caller_conn| caller_conn.front == Front::JsonLines)
-                .count();
-            if taken >= self.max_caller_conns && !self.close_least_used_conn(effects) {
-                effects.push(Effect::Log("no connection from callers can be closed for another".to_owned()));
+            let open = self.caller_conns.values().filter(|conn| conn.front == Front::JsonLines).count();
+            if open >= self.max_caller_conns && !self.close_least_used_conn(effects) {
+                let text =
+                    "caller connections are at their limit and all have open set-ups; closing the new one";
+                effects.push(Effect::Log(text.to_owned()));
                 effects.push(Effect::CloseCallerConn { caller_conn });
                 return;
             }
@@ -1008,57 +1006,54 @@
         self.send_pending_releases(effects);
     }
 
-    /// Closes one connection from callers so that another can be taken: never one with a set-up open on it;
-    /// first those that have said nothing, then those without a call, then those whose calls stand, which are
-    /// released on any connection. Of each kind the one that has been quiet longest goes.
+    /// Closes one caller connection to make room for another. Never one with an open set-up; first those that have
+    /// carried no message, then those without a call, then those with established calls, whose releases can be sent
+    /// on any connection, and new ones last. Among equals, the one that has been silent longest is closed.
     fn close_least_used_conn(&mut self, effects: &mut Vec<Effect>) -> bool {
         let mut calls: HashMap<CallerConnId, (bool, bool)> = HashMap::new();
         for call in self.calls.values() {
-            let (open, standing) = calls.entry(call.caller_conn).or_default();
-            let stands = matches!(call.phase, Phase::Established { .. });
-            *open |= !stands;
-            *standing |= stands;
+            let (any_open, any_established) = calls.entry(call.caller_conn).or_default();
+            let established = matches!(call.phase, Phase::Established { .. });
+            *any_open |= !established;
+            *any_established |= established;
         }
-        let rank =
-            |id: &CallerConnId, caller_conn: &CallerConn| match calls.get(id).copied().unwrap_or_default() {
-                (true, _) => None,
-                (false, true) => Some(2),
-                _ if caller_conn.sent_call_message || caller_conn.health_checks_only => Some(1),
-                _ if elapsed(caller_conn.last_received, self.now) >= NEW_CONN_GRACE => Some(0),
-                _ => Some(3),
-            };
-        let platform =
-            self.caller_conns.iter().filter(|(_, caller_conn)| caller_conn.front == Front::JsonLines);
-        let ranked = platform
-            .filter_map(|(id, caller_conn)| Some((rank(id, caller_conn)?, caller_conn.last_received, *id)));
+        let rank = |id: &CallerConnId, conn: &CallerConn| match calls.get(id).copied().unwrap_or_default() {
+            (true, _) => None,
+            (false, true) => Some(2),
+            _ if conn.sent_call_message || conn.health_checks_only => Some(1),
+            _ if elapsed(conn.last_received, self.now) >= NEW_CONN_GRACE => Some(0),
+            _ => Some(3),
+        };
+        let candidates = self.caller_conns.iter().filter(|(_, conn)| conn.front == Front::JsonLines);
+        let ranked = candidates.filter_map(|(id, conn)| Some((rank(id, conn)?, conn.last_received, *id)));
         let Some((_, _, caller_conn)) = ranked.min() else { return false };
         self.close_caller_conn(caller_conn, effects);
         true
     }
 
     fn close_caller_conn(&mut self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
-        if self.caller_conns.get(&caller_conn).is_some_and(|held| held.front == Front::JsonLines) {
+        if self.caller_conns.get(&caller_conn).is_some_and(|conn| conn.front == Front::JsonLines) {
             self.caller_conns.remove(&caller_conn);
             effects.push(Effect::CloseCallerConn { caller_conn });
         }
     }
 
-    /// A line has come on a connection from callers.
+    /// Notes that a message about a call arrived on a caller connection.
     fn caller_message_received(&mut self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
         let now = self.now;
-        let Some(caller_conn) = self.caller_conns.get_mut(&caller_conn) else { return };
-        (caller_conn.last_received, caller_conn.health_checks_only) = (now, false);
-        if !std::mem::replace(&mut caller_conn.sent_call_message, true) && !self.pending_releases.is_empty() {
+        let Some(conn) = self.caller_conns.get_mut(&caller_conn) else { return };
+        (conn.last_received, conn.health_checks_only) = (now, false);
+        if !std::mem::replace(&mut conn.sent_call_message, true) && !self.pending_releases.is_empty() {
             self.send_pending_releases(effects);
         }
     }
 
-    /// Closes a connection from callers that says nothing, or that is held on to without a call.
+    /// Closes a caller connection that carried no first line in time, or that has been idle without a call.
     fn close_if_idle(&mut self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
-        let Some(held) = self.caller_conns.get(&caller_conn) else { return };
+        let Some(conn) = self.caller_conns.get(&caller_conn) else { return };
         let limit =
-            if held.sent_call_message || held.health_checks_only { IDLE_TIMEOUT } else { FIRST_LINE_TIMEOUT };
-        let idle = elapsed(held.last_received, self.now);
+            if conn.sent_call_message || conn.health_checks_only { IDLE_TIMEOUT } else { FIRST_LINE_TIMEOUT };
+        let idle = elapsed(conn.last_received, self.now);
         if self.calls.values().any(|call| call.caller_conn == caller_conn) {
             self.set_timer(IDLE_TIMEOUT, Timer::CheckIdle(caller_conn));
         } else if idle < limit {
@@ -1068,36 +1063,36 @@
         }
     }
 
-    /// Something that names a call but cannot be used. Callers of the platform never send such a thing, and
-    /// whoever goes on with it would keep this processor busy with answers.
-    fn reject_malformed(&mut self, caller_conn: CallerConnId, name: CallUid, effects: &mut Vec<Effect>) {
-        if self.call_ids.contains_key(&name) {
+    /// Fails a malformed set-up. Callers of the platform never send one, so a connection that carries several is
+    /// closed before the replies to it take up the processor.
+    fn reject_malformed(&mut self, caller_conn: CallerConnId, uid: CallUid, effects: &mut Vec<Effect>) {
+        if self.call_ids.contains_key(&uid) {
             return self.abort_caller_conn(caller_conn, effects);
         }
         effects.push(Effect::ToCaller {
             caller_conn,
-            call: name,
+            call: uid,
             message: CallerMessage::Failed { busy: false },
         });
-        let Some(held) = self.caller_conns.get_mut(&caller_conn) else { return };
-        held.malformed_count += 1;
-        if held.malformed_count >= MAX_MALFORMED_MESSAGES {
+        let Some(conn) = self.caller_conns.get_mut(&caller_conn) else { return };
+        conn.malformed_count += 1;
+        if conn.malformed_count >= MAX_MALFORMED_MESSAGES {
             self.abort_caller_conn(caller_conn, effects);
         }
     }
 
-    /// A connection from callers is of no further use. The set-ups open on it get their one answer, then it
-    /// is closed; a call that stands, or that came on another one, is not touched.
+    /// Fails the set-ups that are open on a caller connection and closes it. Established calls, and calls that arrived
+    /// on other connections, are not affected.
     fn abort_caller_conn(&mut self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
-        if self.caller_conns.get(&caller_conn).is_none_or(|held| held.front != Front::JsonLines) {
+        if self.caller_conns.get(&caller_conn).is_none_or(|conn| conn.front != Front::JsonLines) {
             return;
         }
         let open =
             |call: &Call| call.caller_conn == caller_conn && !matches!(call.phase, Phase::Established { .. });
         for id in self.calls_where(open) {
-            if let Some(Phase::Attempting { exchange: to, .. }) = self.calls.get(&id).map(|call| call.phase) {
+            if let Some(Phase::Attempting { exchange, .. }) = self.calls.get(&id).map(|call| call.phase) {
                 self.withdraw_attempt(id, effects);
-                self.report_outcome(id, to, Outcome::Cancelled, Reason::Unspecified, true);
+                self.report_outcome(id, exchange, Outcome::Cancelled, Reason::Unspecified, true);
             }
             self.end_call_with_reason(
                 id,
@@ -1109,28 +1104,26 @@
         self.close_caller_conn(caller_conn, effects);
     }
 
-    fn hang_up(&mut self, caller_conn: CallerConnId, name: CallUid, cause: u8, effects: &mut Vec<Effect>) {
-        let Some(id) = self.call_ids.get(&name).copied() else {
-            // It may stand at the other process: what ends a call may come on any connection.
-            if self.sibling.is_some()
-                && caller_conn != NO_CALLER_CONN
-                && !self.ended_call_uids.contains(&name)
+    fn hang_up(&mut self, caller_conn: CallerConnId, uid: CallUid, cause: u8, effects: &mut Vec<Effect>) {
+        let Some(id) = self.call_ids.get(&uid).copied() else {
+            // The call may be established in the sibling process: its release may arrive on any connection.
+            if self.sibling.is_some() && caller_conn != NO_CALLER_CONN && !self.ended_call_uids.contains(&uid)
             {
-                effects.push(Effect::ToSibling(SiblingMessage::HangUp { call: name, cause }));
+                effects.push(Effect::ToSibling(SiblingMessage::HangUp { call: uid, cause }));
             }
             return;
         };
-        // A call that stands belongs to no connection; a set-up is its own connection's alone to give up.
+        // An established call may be released on any connection; a set-up may be abandoned only on its own.
         match self.calls[&id].phase {
             Phase::Established { .. } => {}
             _ if self.calls[&id].caller_conn == caller_conn => {}
             _ => return,
         }
         match self.calls[&id].phase {
-            Phase::Established { exchange: at } => {
-                self.release_at_exchange(id, at, cause, effects);
-                self.record_released(name, Some(at), ReleasedBy::Caller, false);
-                self.report_outcome(id, at, Outcome::Cancelled, Reason::Unspecified, true);
+            Phase::Established { exchange } => {
+                self.release_at_exchange(id, exchange, cause, effects);
+                self.record_released(uid, Some(exchange), ReleasedBy::Caller, false);
+                self.report_outcome(id, exchange, Outcome::Cancelled, Reason::Unspecified, true);
                 self.remove_call(id, effects);
                 self.exit_if_done(effects);
             }
@@ -1138,12 +1131,12 @@
         }
     }
 
-    /// The caller no longer waits: no answer is owed, and whatever is out is called off.
+    /// Removes a call that its caller has abandoned. The open attempt is cancelled, and the caller gets no message.
     fn abandon_call(&mut self, id: CallId, effects: &mut Vec<Effect>) {
         self.record_abandoned(id);
-        if let Some(Phase::Attempting { exchange: to, .. }) = self.calls.get(&id).map(|call| call.phase) {
+        if let Some(Phase::Attempting { exchange, .. }) = self.calls.get(&id).map(|call| call.phase) {
             self.withdraw_attempt(id, effects);
-            self.report_outcome(id, to, Outcome::Cancelled, Reason::Unspecified, true);
+            self.report_outcome(id, exchange, Outcome::Cancelled, Reason::Unspecified, true);
         }
         self.remove_call(id, effects);
         self.exit_if_done(effects);
@@ -1151,43 +1144,54 @@
 
     // ---- attempts ----
 
-    /// Starts an attempt, if the rules allow it; else the module hears at once that nothing was sent.
+    /// Starts an attempt if the rules allow it; otherwise the decision module is told that it was not sent.
     fn start_attempt(&mut self, id: CallId, to: ExchangeId, timeout: Duration, effects: &mut Vec<Effect>) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let already_out = !matches!(call.phase, Phase::Waiting);
-        if already_out {
-            // Rule 2: never two attempts at once. The module's record of the first stays true.
-            effects.push(Effect::Log(format!("{:?} has an attempt out, second one not sent", call.uid)));
+        let has_open_attempt = !matches!(call.phase, Phase::Waiting);
+        if has_open_attempt {
+            // What the decision module knows of the first attempt stays valid.
+            effects.push(Effect::Log(format!(
+                "call {:?} already has an open attempt; the second one is not sent",
+                call.uid
+            )));
             return;
         }
         call.attempt_count += 1;
         let paused = call.paused_until.is_some_and(|until| self.now < until);
-        let told_off = self.exchanges.get(&to).is_none_or(|p| match p.readiness {
+        let unavailable = self.exchanges.get(&to).is_none_or(|exchange| match exchange.readiness {
             Readiness::Ready => false,
-            _ => elapsed(p.readiness_changed_at, self.now) >= self.drain_grace.mul_f64(0.9),
+            _ => elapsed(exchange.readiness_changed_at, self.now) >= self.drain_grace.mul_f64(0.9),
         });
-        let own = self.exchanges.get(&to).is_some_and(|p| Some(p.number) == self.home);
-        if paused || told_off || own || call.attempt_count > self.attempt_limit || self.now >= call.deadline {
-            let name = call.uid;
+        let own = self.exchanges.get(&to).is_some_and(|exchange| Some(exchange.number) == self.home);
+        if paused
+            || unavailable
+            || own
+            || call.attempt_count > self.attempt_limit
+            || self.now >= call.deadline
+        {
+            let (uid, attempt) = (call.uid, call.attempt_count);
             effects.push(Effect::Log(format!(
-                "{name:?} not sent: pause {paused} told off {told_off} own {own}"
+                "attempt {attempt} of call {uid:?} not sent (release pause: {paused}, exchange draining or removed: \
+                 {unavailable}, own exchange: {own}); the call is returned to the decision module"
             )));
             self.record_attempt_end(id, to, (Outcome::NotSent, Reason::Unspecified), Duration::ZERO);
             self.report_outcome(id, to, Outcome::NotSent, Reason::Unspecified, false);
             return;
         }
-        let left = elapsed(self.now, call.deadline);
-        let cap = if timeout.is_zero() { left } else { timeout.min(left) };
+        let remaining = elapsed(self.now, call.deadline);
+        let timeout = if timeout.is_zero() { remaining } else { timeout.min(remaining) };
         let attempt = call.attempt_count;
         call.phase = Phase::Attempting { exchange: to, sent_at: self.now, conn: None };
-        self.set_timer(cap, Timer::AttemptTimeout(id, attempt));
-        let open = self.exchanges.get(&to).is_some_and(|exchange| matches!(exchange.conn, ConnState::Up(_)));
-        self.record_attempt(id, to, !open);
+        self.set_timer(timeout, Timer::AttemptTimeout(id, attempt));
+        let connected =
+            self.exchanges.get(&to).is_some_and(|exchange| matches!(exchange.conn, ConnState::Up(_)));
+        self.record_attempt(id, to, !connected);
         match self.exchanges.get(&to).map(|exchange| exchange.conn) {
             Some(ConnState::Up(_)) => self.send_setup(id, effects),
             Some(ConnState::Down) => {
                 self.connect(to, effects);
-                // One that is gone is not dialled: whoever answers at its address is another one.
+                // No connection is opened to an exchange that was removed from the list: another exchange may
+                // have its address by now.
                 if self.exchanges.get(&to).is_none_or(|exchange| exchange.conn == ConnState::Down) {
                     self.end_attempt(id, Outcome::NoConnection, Reason::Unspecified);
                 }
@@ -1196,15 +1200,16 @@
         }
     }
 
-    /// Puts the set-up of a call on the way to its exchange.
+    /// Sends the set-up of a call on the connection to its exchange.
     fn send_setup(&mut self, id: CallId, effects: &mut Vec<Effect>) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let Phase::Attempting { exchange: to, conn: on, sent_at: sent } = &mut call.phase else { return };
-        let Some(ConnState::Up(exchange_conn)) = self.exchanges.get(to).map(|exchange| exchange.conn) else {
+        let Phase::Attempting { exchange, conn, sent_at } = &mut call.phase else { return };
+        let Some(ConnState::Up(exchange_conn)) = self.exchanges.get(exchange).map(|exchange| exchange.conn)
+        else {
             return;
         };
-        (*on, *sent) = (Some(exchange_conn), now);
+        (*conn, *sent_at) = (Some(exchange_conn), now);
         self.set_timer(SETUP_SILENCE_LIMIT, Timer::CheckSilence(exchange_conn));
         let Some(call) = self.calls.get(&id) else { return };
         let message = ExchangeMessage::SetUp {
@@ -1216,10 +1221,10 @@
         effects.push(Effect::ToExchange { exchange_conn, call: call.uid, message });
     }
 
-    /// Calls off the attempt of a call that is out, toward the exchange only.
+    /// Cancels the open attempt of a call at the exchange, without telling the decision module.
     fn withdraw_attempt(&mut self, id: CallId, effects: &mut Vec<Effect>) {
         let Some(call) = self.calls.get(&id) else { return };
-        // Where its way is gone, its loss has given the set-up up.
+        // A closed connection needs no cancel: its loss has ended the set-up.
         if let Phase::Attempting { conn: Some(exchange_conn), .. } = call.phase
             && self.exchange_conns.contains_key(&exchange_conn)
         {
@@ -1237,62 +1242,61 @@
     }
 
     fn cancel_attempt(&mut self, id: CallId, effects: &mut Vec<Effect>) {
-        if let Some(Phase::Attempting { exchange: to, sent_at: sent, .. }) =
-            self.calls.get(&id).map(|call| call.phase)
+        if let Some(Phase::Attempting { exchange, sent_at, .. }) = self.calls.get(&id).map(|call| call.phase)
         {
             self.withdraw_attempt(id, effects);
-            self.close_attempt(id, to, sent, Outcome::Cancelled, Reason::Unspecified);
+            self.close_attempt(id, exchange, sent_at, Outcome::Cancelled, Reason::Unspecified);
         }
     }
 
     fn attempt_timed_out(&mut self, id: CallId, attempt: u32, effects: &mut Vec<Effect>) {
         let Some(call) = self.calls.get(&id).filter(|call| call.attempt_count == attempt) else { return };
-        let Phase::Attempting { exchange: to, sent_at: sent, conn: on } = call.phase else { return };
+        let Phase::Attempting { exchange, sent_at, conn } = call.phase else { return };
         self.withdraw_attempt(id, effects);
-        // One that waited for a connection all along has proved that nothing ran.
-        let outcome = if on.is_some() { Outcome::TimedOut } else { Outcome::NoConnection };
-        self.close_attempt(id, to, sent, outcome, Reason::Unspecified);
+        // Without a connection the set-up was never sent, so it cannot have taken effect.
+        let outcome = if conn.is_some() { Outcome::TimedOut } else { Outcome::NoConnection };
+        self.close_attempt(id, exchange, sent_at, outcome, Reason::Unspecified);
     }
 
-    /// Nothing is out for the call any more, so nothing is called off either.
+    /// Marks that a call has no open attempt, without sending a cancel.
     fn clear_attempt(&mut self, id: CallId) {
         if let Some(call) = self.calls.get_mut(&id) {
             call.phase = Phase::Waiting;
         }
     }
 
-    /// The attempt that is out has ended without setting the call up.
+    /// Ends the open attempt of a call, which did not establish it.
     fn end_attempt(&mut self, id: CallId, outcome: Outcome, reason: Reason) {
-        let Some(Phase::Attempting { exchange: to, sent_at: sent, .. }) =
-            self.calls.get(&id).map(|call| call.phase)
+        let Some(Phase::Attempting { exchange, sent_at, .. }) = self.calls.get(&id).map(|call| call.phase)
         else {
             return;
         };
-        self.close_attempt(id, to, sent, outcome, reason);
+        self.close_attempt(id, exchange, sent_at, outcome, reason);
     }
 
+    /// Ends an attempt that did not establish its call, and reports it to the decision module.
     fn close_attempt(
         &mut self,
         id: CallId,
-        to: ExchangeId,
-        sent: SystemTime,
+        exchange: ExchangeId,
+        sent_at: SystemTime,
         outcome: Outcome,
         reason: Reason,
     ) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.phase = Phase::Waiting;
         call.busy = reason == Reason::UserBusy;
-        // Rule 5: what such an attempt took may stay taken for a while.
+        // Circuits that such an attempt took may stay taken during the release pause.
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
             call.paused_until = Some(self.now + self.release_pause);
         }
-        let (attempt, took) = (call.attempt_count - 1, elapsed(sent, self.now));
-        let elapsed_ms = duration_to_ms(took);
-        self.record_attempt_end(id, to, (outcome, reason), took);
+        let (attempt, duration) = (call.attempt_count - 1, elapsed(sent_at, self.now));
+        let elapsed_ms = duration_to_ms(duration);
+        self.record_attempt_end(id, exchange, (outcome, reason), duration);
         self.controller_events.push_back(Event::AttemptEnded {
             call: id,
             attempt,
-            exchange: to,
+            exchange,
             outcome,
             reason,
             elapsed_ms,
@@ -1301,11 +1305,11 @@
         });
     }
 
-    /// Tells the module of an outcome that is not the end of an attempt on its way.
+    /// Reports an outcome to the decision module that is not the end of an open attempt.
     fn report_outcome(
         &mut self,
         id: CallId,
-        at: ExchangeId,
+        exchange: ExchangeId,
         outcome: Outcome,
         reason: Reason,
         call_closed: bool,
@@ -1315,7 +1319,7 @@
         let event = Event::AttemptEnded {
             call: id,
             attempt,
-            exchange: at,
+            exchange,
             outcome,
             reason,
             elapsed_ms: 0.0,
@@ -1325,40 +1329,40 @@
         self.controller_events.push_back(event);
     }
 
-    /// The call of this name, if it has to do with the exchange at the other end of this way. What an
-    /// exchange says of a call that has moved on from it is stale.
-    fn call_on_conn(&self, exchange_conn: ExchangeConnId, name: CallUid) -> Option<(CallId, ExchangeId)> {
-        let (id, exchange) = (*self.call_ids.get(&name)?, self.exchange_conns.get(&exchange_conn)?.exchange);
-        let there = match self.calls.get(&id)?.phase {
-            // On another way it is about an earlier attempt, which was given up.
-            Phase::Attempting { conn: on, .. } => on == Some(exchange_conn),
-            Phase::Established { exchange: at } => at == exchange,
+    /// The call with this id and the exchange of this connection, if the call is attempted or established there. A
+    /// message of an exchange about a call that is elsewhere by now is stale.
+    fn call_on_conn(&self, exchange_conn: ExchangeConnId, uid: CallUid) -> Option<(CallId, ExchangeId)> {
+        let (id, exchange) = (*self.call_ids.get(&uid)?, self.exchange_conns.get(&exchange_conn)?.exchange);
+        let is_there = match self.calls.get(&id)?.phase {
+            // A message on another connection concerns an earlier attempt, which has ended.
+            Phase::Attempting { conn, .. } => conn == Some(exchange_conn),
+            Phase::Established { exchange: established_at } => established_at == exchange,
             Phase::Waiting => false,
         };
-        there.then_some((id, exchange))
+        is_there.then_some((id, exchange))
     }
 
     fn call_answered(
         &mut self,
         exchange_conn: ExchangeConnId,
-        name: CallUid,
+        uid: CallUid,
         description: Option<Arc<str>>,
         effects: &mut Vec<Effect>,
     ) {
         self.mark_active(exchange_conn);
-        let Some((id, exchange)) = self.call_on_conn(exchange_conn, name) else { return };
+        let Some((id, exchange)) = self.call_on_conn(exchange_conn, uid) else { return };
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let Phase::Attempting { sent_at: sent, .. } = call.phase else { return };
-        call.phase = Phase::Established { exchange: exchange };
-        // A call may stand for long; what only its set-up needed is given back.
+        let Phase::Attempting { sent_at, .. } = call.phase else { return };
+        call.phase = Phase::Established { exchange };
+        // A call may last long, so memory that only the set-up needed is freed.
         self.metrics.count_completed(&std::mem::take(&mut call.class));
         call.called_number = None;
-        let asked = call.description.take();
-        let (attempt, elapsed_ms) = (call.attempt_count - 1, duration_to_ms(elapsed(sent, self.now)));
+        let setup_description = call.description.take();
+        let (attempt, elapsed_ms) = (call.attempt_count - 1, duration_to_ms(elapsed(sent_at, self.now)));
         let (caller_conn, call) = (call.caller_conn, call.uid);
-        self.setup_closed(asked.as_ref());
-        if let Some(caller_conn) = self.caller_conns.get_mut(&caller_conn) {
-            caller_conn.served_call = true;
+        self.setup_closed(setup_description.as_ref());
+        if let Some(conn) = self.caller_conns.get_mut(&caller_conn) {
+            conn.served_call = true;
         }
         effects.push(Effect::ToCaller {
             caller_conn,
@@ -1367,41 +1371,41 @@
         });
         self.close_answered_conn(caller_conn, effects);
         self.record_answer(id, exchange);
-        self.controller_events.push_back(Event::Answered {
-            call: id,
-            attempt,
-            exchange: exchange,
-            elapsed_ms,
-        });
+        self.controller_events.push_back(Event::Answered { call: id, attempt, exchange, elapsed_ms });
         self.exit_if_done(effects);
     }
 
     fn call_ended(
         &mut self,
         exchange_conn: ExchangeConnId,
-        name: CallUid,
+        uid: CallUid,
         outcome: Outcome,
         reason: Reason,
         effects: &mut Vec<Effect>,
     ) {
         self.mark_active(exchange_conn);
-        let unknown = !self.call_ids.contains_key(&name) && !self.ended_call_uids.contains(&name);
+        let unknown = !self.call_ids.contains_key(&uid) && !self.ended_call_uids.contains(&uid);
         if unknown && self.exchange_conns.contains_key(&exchange_conn) {
             if self.sibling.is_some() && matches!(outcome, Outcome::Completed | Outcome::Reset) {
                 let cut = outcome == Outcome::Reset;
-                return effects.push(Effect::ToSibling(SiblingMessage::Ended { call: name, cut }));
+                return effects.push(Effect::ToSibling(SiblingMessage::Ended { call: uid, cut }));
             }
-            return self.release_unknown_call(name, outcome, effects);
+            return self.release_unknown_call(uid, outcome, effects);
         }
-        let Some((id, exchange)) = self.call_on_conn(exchange_conn, name) else { return };
+        let Some((id, exchange)) = self.call_on_conn(exchange_conn, uid) else { return };
         match self.calls[&id].phase {
             Phase::Established { .. } => {
                 self.end_established(id, exchange, outcome, ReleasedBy::Exchange, effects)
             }
-            // A normal end before any answer: the call stood, its answer was lost, and now it is over. Guards
-            // against setting it up once more, under an id that is over for the exchange and its caller.
-            Phase::Attempting { sent_at: sent, .. } if outcome == Outcome::Completed => {
-                self.record_attempt_end(id, exchange, (Outcome::Completed, reason), elapsed(sent, self.now));
+            // A normal end without an answer: the call was established, its answer was lost, and it has ended. It
+            // must not be set up again with an id that has ended for the exchange and for its caller.
+            Phase::Attempting { sent_at, .. } if outcome == Outcome::Completed => {
+                self.record_attempt_end(
+                    id,
+                    exchange,
+                    (Outcome::Completed, reason),
+                    elapsed(sent_at, self.now),
+                );
                 self.report_outcome(id, exchange, Outcome::Reset, Reason::Unspecified, true);
                 self.clear_attempt(id);
                 self.end_call(id, CallerMessage::Failed { busy: false }, effects);
@@ -1410,8 +1414,8 @@
         }
     }
 
-    /// The end of a call that nobody here has ever heard of: it stood before the last start, and its caller,
-    /// whom the front knows, still has to be told.
+    /// Releases a call that ended at an exchange and is unknown here: it was established before this process started,
+    /// and its caller, whom the front knows, must be told.
     fn release_unknown_call(&mut self, call: CallUid, outcome: Outcome, effects: &mut Vec<Effect>) {
         if !matches!(outcome, Outcome::Completed | Outcome::Reset) {
             return;
@@ -1419,27 +1423,28 @@
         self.ended_call_uids.insert(call);
         self.ended_calls.push_back((self.now, call));
         self.record_released(call, None, ReleasedBy::Exchange, outcome == Outcome::Reset);
-        let word = CallerMessage::Released { cut: outcome == Outcome::Reset };
-        self.send_release(NO_CALLER_CONN, self.pending_release(Front::JsonLines, call, word), effects);
+        let message = CallerMessage::Released { cut: outcome == Outcome::Reset };
+        self.send_release(NO_CALLER_CONN, self.pending_release(Front::JsonLines, call, message), effects);
     }
 
-    /// A call that stood is over on the far side: its caller is told, whichever way is open.
+    /// Ends an established call that is over at its exchange, and releases its caller.
     fn end_established(
         &mut self,
         id: CallId,
-        at: ExchangeId,
+        exchange: ExchangeId,
         outcome: Outcome,
         by: ReleasedBy,
         effects: &mut Vec<Effect>,
     ) {
         let outcome = if outcome == Outcome::Completed { Outcome::Completed } else { Outcome::Reset };
-        if let Some(name) = self.calls.get(&id).map(|call| call.uid) {
-            self.record_released(name, Some(at), by, outcome == Outcome::Reset);
+        if let Some(uid) = self.calls.get(&id).map(|call| call.uid) {
+            self.record_released(uid, Some(exchange), by, outcome == Outcome::Reset);
         }
-        self.report_outcome(id, at, outcome, Reason::Unspecified, true);
+        self.report_outcome(id, exchange, outcome, Reason::Unspecified, true);
         self.end_call(id, CallerMessage::Released { cut: outcome == Outcome::Reset }, effects);
     }
 
+    /// Sends the release of an established call to its exchange, or queues it until a connection is open.
     fn release_at_exchange(&mut self, id: CallId, at: ExchangeId, cause: u8, effects: &mut Vec<Effect>) {
         let call = self.calls[&id].uid;
         match self.exchanges.get(&at).map(|exchange| exchange.conn) {
@@ -1450,11 +1455,11 @@
                     message: ExchangeMessage::Release { cause },
                 });
             }
-            Some(way) => {
+            Some(conn) => {
                 if let Some(exchange) = self.exchanges.get_mut(&at) {
                     exchange.pending_releases.push((call, cause));
                 }
-                if way == ConnState::Down {
+                if conn == ConnState::Down {
                     self.connect(at, effects);
                 }
             }
@@ -1463,11 +1468,13 @@
     }
 }
 
-/// The number called, as the module knows it: hexadecimal as the platform writes it, else a hash of the text
-/// (FNV-1a), never 0, which would mean that none was called.
-fn called_number_id(key: &str) -> u64 {
+/// The number called in the form of the decision module: the value of hexadecimal digits, as the platform sends them,
+/// otherwise an FNV-1a hash of the text. Never 0, which means that no number was called.
+fn called_number_id(number: &str) -> u64 {
     let hash = || {
-        key.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3))
+        number
+            .bytes()
+            .fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3))
     };
-    u64::from_str_radix(key, 16).unwrap_or_else(|_| hash()).max(1)
+    u64::from_str_radix(number, 16).unwrap_or_else(|_| hash()).max(1)
 }
