--- a/src/engine/exchanges.rs
+++ b/src/engine/exchanges.rs
@@ -1,9 +1,10 @@
-//! The exchanges that the engine knows: how they are listed and the ways to each.
+//! The exchanges of the list and the connections to them.
 //!
-//! A way that breaks proves nothing of the process at its far end: connections are reset while it lives. That it
-//! is dead shows when the next connection is refused, when none comes up for a while, or when the list no
-//! longer has it; only then are the calls that stand there cut. A way that stays open may be dead too: when
-//! nothing comes on it although something is owed, another is opened beside it, and takes its place once it is up.
+//! A lost connection does not prove that the process at the exchange has ended, since connections may be reset while
+//! it runs. The exchange counts as failed when it refuses the next connection, when no connection opens for
+//! `MAX_UNREACHABLE_TIME`, or when it is removed from the list; only then are its established calls cut. An open
+//! connection may be dead as well: if a message is due and nothing arrives, a second connection is opened, which
+//! replaces the first once it is up.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,45 +18,48 @@
 use crate::interface::LoadReport;
 use swiftlb_record::{ConnectionChange, ReleasedBy};
 
-/// Cause of a normal end.
+/// Q.850 cause "normal call clearing".
 const CAUSE_NORMAL_CLEARING: u8 = 16;
-/// Time between two looks at the ways to an exchange.
+/// Interval between two checks of the connection to an exchange.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// A way on which nothing has come for this long since a set-up went out is as good as dead, however slow the
-/// processor beyond may be: a set-up takes a circuit, and the news of that came within 1 ms each of 1,158 times
-/// that were measured, and never on a way on which the set-up stayed without an answer as well.
+/// A connection on which nothing was received for this long since a set-up was sent on it counts as dead, however
+/// slow the processor of the exchange is. A set-up takes a circuit, and the new state of the group arrived within
+/// 1 ms in all of 1,158 cases; it never arrived on a connection on which the set-up also stayed without an answer.
 pub(super) const SETUP_SILENCE_LIMIT: Duration = Duration::from_millis(150);
-/// The same for an exchange that has never told anything of its group: there a set-up may take its time.
+/// The same limit for an exchange that has never reported the state of its group, where an answer may be the first
+/// message after a set-up.
 const SETUP_SILENCE_LIMIT_WITHOUT_REPORTS: Duration = Duration::from_secs(2);
-/// The same for a way on which nothing is out, but calls stand whose ends would come on it.
+/// The same limit for a connection without an open attempt, to an exchange with established calls whose ends would
+/// be reported on it.
 const ESTABLISHED_SILENCE_LIMIT: Duration = Duration::from_secs(3);
-/// When no connection has come up for this long the machine is gone, and the calls that stood there with it.
-/// With the time in which that shows, their callers are told well within 8 s.
+/// An exchange to which no connection has opened for this long has failed, and its established calls are cut. With
+/// the time until the loss is noticed, their callers are told well within 8 s.
 const MAX_UNREACHABLE_TIME: Duration = Duration::from_secs(2);
-/// A way that broke sooner than this after it came up is not opened again at once.
+/// After a connection that lasted less than this, the next one is opened only after `RECONNECT_DELAY`.
 const MIN_CONN_LIFETIME: Duration = Duration::from_millis(200);
 
-/// The way to an exchange on which set-ups go.
+/// State of the connection to an exchange that set-ups are sent on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnState {
-    /// None open.
+    /// There is no connection.
     Down,
-    /// One is being opened.
+    /// It is being opened.
     Connecting(ExchangeConnId),
-    /// One is open.
+    /// It is open.
     Up(ExchangeConnId),
 }
 
-/// One connection to an exchange.
+/// A connection to an exchange.
 #[derive(Debug)]
 pub(super) struct ExchangeConn {
     pub(super) exchange: ExchangeId,
     opened_at: SystemTime,
     pub(super) last_received: SystemTime,
-    /// Calls that stand belong to it and end with it, so no other can take its place.
+    /// Whether established calls belong to it and end with it, so that it cannot be replaced.
     carries_calls: bool,
 }
 
+/// An exchange of the list, or one that was removed from it a short time ago.
 #[derive(Debug)]
 pub(super) struct Exchange {
     pub(super) name: Arc<str>,
@@ -66,22 +70,23 @@
     pub(super) readiness: Readiness,
     pub(super) readiness_changed_at: SystemTime,
     pub(super) conn: ConnState,
-    /// Being opened beside the way, to take its place.
+    /// A second connection that is being opened to replace `conn`.
     replacement: Option<ExchangeConnId>,
-    /// No connection has come up since then.
+    /// Since when every attempt to connect has failed; `None` once a connection opens or a message arrives.
     unreachable_since: Option<SystemTime>,
-    /// Releases that wait for a way.
+    /// Releases to be sent on the next connection, with their Q.850 causes.
     pub(super) pending_releases: Vec<(CallUid, u8)>,
     reconnect_scheduled: bool,
     check_scheduled: bool,
-    /// It tells of its group.
+    /// Whether it has reported the state of its group unasked.
     reports_group: bool,
-    /// Free circuits of its group and the size of it, as last heard.
+    /// Free circuits and size of its group, as last reported.
     pub(super) group: Option<(u32, u32)>,
 }
 
 impl Engine {
-    /// The module's id of an exchange: its own for each name, because a later exchange may have the address.
+    /// The id of an exchange for the decision module. Every name gets its own, because another exchange may reuse the
+    /// address later.
     fn exchange_id(&mut self, name: &Arc<str>) -> ExchangeId {
         if let Some(id) = self.exchange_ids.get(name) {
             return *id;
@@ -92,6 +97,7 @@
         id
     }
 
+    /// Applies an update of the list of exchanges and opens connections to new ones.
     pub(super) fn apply_list(
         &mut self,
         entries: Vec<ListEntry>,
@@ -101,7 +107,7 @@
         let mut listed = Vec::with_capacity(entries.len());
         for entry in entries {
             let id = self.exchange_id(&entry.name);
-            let differs = self.entry_changed(id, &entry);
+            let changed = self.entry_changed(id, &entry);
             listed.push(ListedExchange {
                 id,
                 number: entry.number,
@@ -132,11 +138,11 @@
             }
             (exchange.address, exchange.number) = (entry.address, entry.number);
             (exchange.zone, exchange.started_at) = (entry.zone, entry.started_at);
-            if differs {
+            if changed {
                 self.record_exchange(id);
             }
         }
-        let gone: Vec<ExchangeId> = self
+        let removed: Vec<ExchangeId> = self
             .exchanges
             .iter()
             .filter(|(id, exchange)| {
@@ -144,15 +150,15 @@
             })
             .map(|(id, _)| *id)
             .collect();
-        for id in gone {
+        for id in removed {
             if let Some(exchange) = self.exchanges.get_mut(&id) {
                 (exchange.readiness, exchange.readiness_changed_at) = (Readiness::Removed, self.now);
             }
             self.record_exchange(id);
             self.set_timer(REMOVAL_GRACE, Timer::RemoveExchange(id));
         }
-        let down: Vec<ExchangeId> = listed.iter().map(|l| l.id).collect();
-        for id in down {
+        let listed_ids: Vec<ExchangeId> = listed.iter().map(|l| l.id).collect();
+        for id in listed_ids {
             if let Some(exchange) = self.exchanges.get_mut(&id)
                 && !std::mem::replace(&mut exchange.check_scheduled, true)
             {
@@ -185,7 +191,8 @@
         Some(exchange_conn)
     }
 
-    /// Opens a way to an exchange that is not gone: news of its group comes only on an open one.
+    /// Opens a connection to a listed exchange that has none. The state of its group arrives only on an open
+    /// connection.
     pub(super) fn connect(&mut self, id: ExchangeId, effects: &mut Vec<Effect>) {
         if self.exchanges.get(&id).is_none_or(|exchange| exchange.conn != ConnState::Down) {
             return;
@@ -214,12 +221,12 @@
         }
     }
 
-    /// Something has come on a way.
+    /// Notes that a message arrived on a connection.
     pub(super) fn mark_active(&mut self, exchange_conn: ExchangeConnId) {
         let now = self.now;
-        if let Some(held) = self.exchange_conns.get_mut(&exchange_conn) {
-            held.last_received = now;
-            if let Some(exchange) = self.exchanges.get_mut(&held.exchange) {
+        if let Some(conn) = self.exchange_conns.get_mut(&exchange_conn) {
+            conn.last_received = now;
+            if let Some(exchange) = self.exchanges.get_mut(&conn.exchange) {
                 exchange.unreachable_since = None;
             }
         }
@@ -228,17 +235,17 @@
     pub(super) fn exchange_connected(
         &mut self,
         exchange_conn: ExchangeConnId,
-        bound: bool,
+        carries_calls: bool,
         effects: &mut Vec<Effect>,
     ) {
         let now = self.now;
-        let Some(held) = self.exchange_conns.get_mut(&exchange_conn) else {
-            // It was given up while it was being opened, and nobody else would ever close it.
+        let Some(conn) = self.exchange_conns.get_mut(&exchange_conn) else {
+            // The engine dropped the connection while it was being opened; nothing else would close it.
             effects.push(Effect::CloseExchangeConn { exchange_conn });
             return;
         };
-        (held.opened_at, held.last_received, held.carries_calls) = (now, now, bound);
-        let id = held.exchange;
+        (conn.opened_at, conn.last_received, conn.carries_calls) = (now, now, carries_calls);
+        let id = conn.exchange;
         let Some(exchange) = self.exchanges.get_mut(&id) else { return };
         exchange.unreachable_since = None;
         if exchange.replacement == Some(exchange_conn) {
@@ -253,7 +260,8 @@
         exchange.conn = ConnState::Up(exchange_conn);
         self.record_connection(id, ConnectionChange::Up);
         let Some(exchange) = self.exchanges.get_mut(&id) else { return };
-        // Releases first: a set-up that comes again may have left a call standing there under the same id.
+        // Releases first: an earlier attempt of a call that is sent again may still hold a circuit there under the
+        // same id.
         for (call, cause) in std::mem::take(&mut exchange.pending_releases) {
             effects.push(Effect::ToExchange {
                 exchange_conn,
@@ -261,8 +269,8 @@
                 message: ExchangeMessage::Release { cause },
             });
         }
-        let waits = |call: &Call| matches!(call.phase, Phase::Attempting { exchange: to, conn: None, .. } if to == id);
-        for call in self.calls_where(waits) {
+        let unsent = |call: &Call| matches!(call.phase, Phase::Attempting { exchange, conn: None, .. } if exchange == id);
+        for call in self.calls_where(unsent) {
             self.send_setup(call, effects);
         }
     }
@@ -273,7 +281,7 @@
         refused: bool,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(id) = self.exchange_conns.remove(&exchange_conn).map(|held| held.exchange) else { return };
+        let Some(id) = self.exchange_conns.remove(&exchange_conn).map(|conn| conn.exchange) else { return };
         let now = self.now;
         self.record_connection(
             id,
@@ -285,8 +293,8 @@
         } else {
             exchange.conn = ConnState::Down;
         }
-        let since_when = *exchange.unreachable_since.get_or_insert(now);
-        if refused || elapsed(since_when, now) >= MAX_UNREACHABLE_TIME {
+        let unreachable_since = *exchange.unreachable_since.get_or_insert(now);
+        if refused || elapsed(unreachable_since, now) >= MAX_UNREACHABLE_TIME {
             self.exchange_failed(id, refused, effects);
         } else if exchange.conn == ConnState::Down {
             self.fail_unsent_setups(id);
@@ -294,19 +302,19 @@
         }
     }
 
-    /// Set-ups that wait for a way have proved that nothing of them ran.
+    /// Ends the attempts that wait for a connection. Their set-ups were never sent, so they cannot have taken effect.
     fn fail_unsent_setups(&mut self, id: ExchangeId) {
-        let waits = |call: &Call| matches!(call.phase, Phase::Attempting { exchange: to, conn: None, .. } if to == id);
-        for call in self.calls_where(waits) {
+        let unsent = |call: &Call| matches!(call.phase, Phase::Attempting { exchange, conn: None, .. } if exchange == id);
+        for call in self.calls_where(unsent) {
             self.end_attempt(call, Outcome::NoConnection, Reason::Unspecified);
         }
     }
 
-    /// A way has broken, was closed, or is of no further use. The set-ups out on it are over, as far as this
-    /// softswitch can tell; calls that stand belong to no connection.
+    /// Handles the loss of a connection. Its open attempts are reset. Established calls continue, unless they belong
+    /// to the connection or the exchange was removed from the list.
     pub(super) fn exchange_disconnected(&mut self, exchange_conn: ExchangeConnId, effects: &mut Vec<Effect>) {
-        let Some(held) = self.exchange_conns.remove(&exchange_conn) else { return };
-        let (id, now) = (held.exchange, self.now);
+        let Some(conn) = self.exchange_conns.remove(&exchange_conn) else { return };
+        let (id, now) = (conn.exchange, self.now);
         self.record_connection(id, ConnectionChange::Lost);
         self.reset_open_attempts(exchange_conn, id, effects);
         let Some(exchange) = self.exchanges.get_mut(&id) else { return };
@@ -316,40 +324,41 @@
         exchange.conn = exchange.replacement.take().map_or(ConnState::Down, ConnState::Connecting);
         if exchange.readiness == Readiness::Removed {
             self.cut_established_calls(id, effects);
-        } else if held.carries_calls {
+        } else if conn.carries_calls {
             self.cut_established_calls(id, effects);
             self.connect(id, effects);
-        } else if elapsed(held.opened_at, now) < MIN_CONN_LIFETIME {
+        } else if elapsed(conn.opened_at, now) < MIN_CONN_LIFETIME {
             self.schedule_reconnect(id);
         } else {
             self.connect(id, effects);
         }
     }
 
-    /// Ends the attempts that went out on a way that is no more. Some may have run, and stand at the exchange
-    /// with their circuits taken: it is told that they are over, on the way that is open or on the next.
+    /// Ends the attempts that were sent on a lost connection. Some may have taken effect and hold circuits at the
+    /// exchange, so it is told that they are over, on its open connection or on the next one.
     fn reset_open_attempts(
         &mut self,
         exchange_conn: ExchangeConnId,
         id: ExchangeId,
         effects: &mut Vec<Effect>,
     ) {
-        let out_there = |call: &Call| matches!(call.phase, Phase::Attempting { conn: on, .. } if on == Some(exchange_conn));
-        for call in self.calls_where(out_there) {
-            let name = self.calls[&call].uid;
+        let sent_on_conn =
+            |call: &Call| matches!(call.phase, Phase::Attempting { conn, .. } if conn == Some(exchange_conn));
+        for call in self.calls_where(sent_on_conn) {
+            let uid = self.calls[&call].uid;
             self.end_attempt(call, Outcome::Reset, Reason::Unspecified);
             match self.exchanges.get_mut(&id) {
                 Some(Exchange { conn: ConnState::Up(open), .. }) if *open != exchange_conn => {
                     let (exchange_conn, message) = (*open, ExchangeMessage::Cancel);
-                    effects.push(Effect::ToExchange { exchange_conn, call: name, message });
+                    effects.push(Effect::ToExchange { exchange_conn, call: uid, message });
                 }
-                Some(exchange) => exchange.pending_releases.push((name, CAUSE_NORMAL_CLEARING)),
+                Some(exchange) => exchange.pending_releases.push((uid, CAUSE_NORMAL_CLEARING)),
                 None => {}
             }
         }
     }
 
-    /// Looks now and then whether the way to an exchange may be dead though it is open.
+    /// Periodic check whether the open connection to an exchange may be dead.
     pub(super) fn check_exchange(&mut self, id: ExchangeId, effects: &mut Vec<Effect>) {
         let Some(exchange) = self.exchanges.get_mut(&id) else { return };
         if exchange.readiness == Readiness::Removed {
@@ -360,35 +369,35 @@
         self.replace_silent_conn(id, effects);
     }
 
-    /// A set-up went out on this way a moment ago.
+    /// Checks a connection `SETUP_SILENCE_LIMIT` after a set-up was sent on it.
     pub(super) fn check_silence(&mut self, exchange_conn: ExchangeConnId, effects: &mut Vec<Effect>) {
-        if let Some(id) = self.exchange_conns.get(&exchange_conn).map(|held| held.exchange) {
+        if let Some(id) = self.exchange_conns.get(&exchange_conn).map(|conn| conn.exchange) {
             self.replace_silent_conn(id, effects);
         }
     }
 
-    /// Opens another way beside the one that is open, if that may be dead.
+    /// Opens a second connection to an exchange if the open one may be dead.
     fn replace_silent_conn(&mut self, id: ExchangeId, effects: &mut Vec<Effect>) {
         let Some(exchange) = self.exchanges.get(&id) else { return };
         let ConnState::Up(exchange_conn) = exchange.conn else { return };
-        let Some(held) = self.exchange_conns.get(&exchange_conn).filter(|held| !held.carries_calls) else {
+        let Some(open) = self.exchange_conns.get(&exchange_conn).filter(|conn| !conn.carries_calls) else {
             return;
         };
-        let quiet = |from: SystemTime| elapsed(from.max(held.last_received), self.now);
+        let silence = |from: SystemTime| elapsed(from.max(open.last_received), self.now);
         let limit =
             if exchange.reports_group { SETUP_SILENCE_LIMIT } else { SETUP_SILENCE_LIMIT_WITHOUT_REPORTS };
-        let owed = |call: &Call| {
-            matches!(call.phase, Phase::Attempting { conn: on, sent_at: sent, .. }
-            if on == Some(exchange_conn) && held.last_received <= sent && quiet(sent) >= limit)
+        let setup_unanswered = |call: &Call| {
+            matches!(call.phase, Phase::Attempting { conn, sent_at, .. }
+            if conn == Some(exchange_conn) && open.last_received <= sent_at && silence(sent_at) >= limit)
         };
-        let doubtful = exchange.unreachable_since.is_some()
-            || (quiet(held.opened_at) >= ESTABLISHED_SILENCE_LIMIT
+        let may_be_dead = exchange.unreachable_since.is_some()
+            || (silence(open.opened_at) >= ESTABLISHED_SILENCE_LIMIT
                 && self.calls.values().any(|c| c.phase == Phase::Established { exchange: id }))
-            || self.calls.values().any(owed);
-        if exchange.replacement.is_none() && doubtful {
-            let spare = self.open_conn(id, effects);
+            || self.calls.values().any(setup_unanswered);
+        if exchange.replacement.is_none() && may_be_dead {
+            let replacement = self.open_conn(id, effects);
             if let Some(exchange) = self.exchanges.get_mut(&id) {
-                exchange.replacement = spare;
+                exchange.replacement = replacement;
             }
         }
     }
@@ -398,7 +407,7 @@
         self.exchange_disconnected(exchange_conn, effects);
     }
 
-    /// Nothing runs at this exchange any more, whatever is still open to it.
+    /// Handles the failure of an exchange: its connections are closed and its established calls are cut.
     fn exchange_failed(&mut self, id: ExchangeId, refused: bool, effects: &mut Vec<Effect>) {
         self.close_exchange_conns(id, effects);
         self.cut_established_calls(id, effects);
@@ -408,14 +417,14 @@
         self.schedule_reconnect(id);
     }
 
-    /// Closes every way to an exchange, with all that waits for one.
+    /// Closes all connections to an exchange and ends the attempts that were sent on them or wait for one.
     fn close_exchange_conns(&mut self, id: ExchangeId, effects: &mut Vec<Effect>) {
         let Some(exchange) = self.exchanges.get_mut(&id) else { return };
-        let way = match std::mem::replace(&mut exchange.conn, ConnState::Down) {
+        let conn = match std::mem::replace(&mut exchange.conn, ConnState::Down) {
             ConnState::Up(exchange_conn) | ConnState::Connecting(exchange_conn) => Some(exchange_conn),
             ConnState::Down => None,
         };
-        for exchange_conn in [way, exchange.replacement.take()].into_iter().flatten() {
+        for exchange_conn in [conn, exchange.replacement.take()].into_iter().flatten() {
             self.exchange_conns.remove(&exchange_conn);
             effects.push(Effect::CloseExchangeConn { exchange_conn });
             self.reset_open_attempts(exchange_conn, id, effects);
@@ -423,7 +432,8 @@
         self.fail_unsent_setups(id);
     }
 
-    /// Ends all dealings with an exchange that is no longer listed.
+    /// Closes the connections to an exchange that was removed from the list and cuts its calls; called again after
+    /// `REMOVED_EXCHANGE_RETENTION`, drops its state.
     pub(super) fn remove_exchange(&mut self, id: ExchangeId, effects: &mut Vec<Effect>) {
         let Some(exchange) =
             self.exchanges.get_mut(&id).filter(|exchange| exchange.readiness == Readiness::Removed)
@@ -444,7 +454,8 @@
         self.set_timer(REMOVED_EXCHANGE_RETENTION, Timer::RemoveExchange(id));
     }
 
-    /// Ends the calls that stand at an exchange. If it lives after all, it is told so on the next way.
+    /// Cuts the established calls of an exchange. If it runs after all, it receives their releases on the next
+    /// connection.
     fn cut_established_calls(&mut self, id: ExchangeId, effects: &mut Vec<Effect>) {
         for call in self.calls_where(|call| call.phase == Phase::Established { exchange: id }) {
             if let Some(exchange) = self.exchanges.get_mut(&id) {
@@ -454,28 +465,29 @@
         }
     }
 
-    /// Ids of the calls for which this holds, in the order in which they came.
-    pub(super) fn calls_where(&self, holds: impl Fn(&Call) -> bool) -> Vec<CallId> {
-        let mut ids: Vec<CallId> = self.calls.iter().filter(|(_, c)| holds(c)).map(|(id, _)| *id).collect();
+    /// Ids of the calls that match a predicate, in the order in which they arrived.
+    pub(super) fn calls_where(&self, predicate: impl Fn(&Call) -> bool) -> Vec<CallId> {
+        let mut ids: Vec<CallId> =
+            self.calls.iter().filter(|(_, call)| predicate(call)).map(|(id, _)| *id).collect();
         ids.sort_unstable();
         ids
     }
 
-    /// News of the group toward an exchange has come unasked.
+    /// Handles an unsolicited report of the state of the group toward an exchange.
     pub(super) fn group_state_received(&mut self, exchange_conn: ExchangeConnId, report: LoadReport) {
         let exchange =
-            self.exchange_conns.get(&exchange_conn).and_then(|held| self.exchanges.get_mut(&held.exchange));
+            self.exchange_conns.get(&exchange_conn).and_then(|conn| self.exchanges.get_mut(&conn.exchange));
         if let Some(exchange) = exchange {
             exchange.reports_group = true;
         }
         self.probe_answered(exchange_conn, true, Some(report));
     }
 
-    /// Keeps what a report says of the group, for whoever looks at this softswitch or at its records.
+    /// Stores the state of a group from a load report, for the status and the records.
     fn update_group(&mut self, id: ExchangeId, report: Option<&LoadReport>) {
         let (free, total) = self.group_fields;
-        let value = |place: Option<usize>| {
-            let value = report?.get(place?).copied().filter(|value| value.is_finite() && *value >= 0.0)?;
+        let value = |index: Option<usize>| {
+            let value = report?.get(index?).copied().filter(|value| value.is_finite() && *value >= 0.0)?;
             Some(value.min(f64::from(u32::MAX)) as u32)
         };
         let (Some(free), Some(exchange)) = (value(free), self.exchanges.get_mut(&id)) else { return };
@@ -492,7 +504,7 @@
         report: Option<LoadReport>,
     ) {
         self.mark_active(exchange_conn);
-        if let Some(exchange) = self.exchange_conns.get(&exchange_conn).map(|held| held.exchange) {
+        if let Some(exchange) = self.exchange_conns.get(&exchange_conn).map(|conn| conn.exchange) {
             self.update_group(exchange, report.as_ref());
             self.controller_events.push_back(Event::ProbeResult {
                 exchange,
--- a/src/engine/recording.rs
+++ b/src/engine/recording.rs
@@ -1,12 +1,12 @@
-//! What the reducer records of itself: its inputs and decisions as events, for whoever reads them later.
+//! Recording of the reducer's inputs and decisions as events for later analysis.
 //!
-//! Events are gathered while one input is worked on and leave as [`Effect::Record`]. Where nothing is recorded they
-//! are not even made.
+//! Events are buffered while an input is handled and leave the reducer as [`Effect::Record`]. While recording is off
+//! they are not created.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use swiftlb_record::{
-    AttemptOutcome, AttemptReason, CallUid as RecordedCall, ConnectionChange, DrainSource, Event,
+    AttemptOutcome, AttemptReason, CallUid as RecordedUid, ConnectionChange, DrainSource, Event,
     FailureReason, Front as RecordedFront, ListedReadiness, Record, RefusalReason, ReleasedBy,
 };
 
@@ -15,24 +15,24 @@
     Timer, elapsed,
 };
 
-/// Time between two looks at what the decisions believe of each exchange.
+/// Interval at which the expected delay of every exchange is recorded.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Where the notes of one input gather.
+/// The events of the current input, and the values last recorded.
 #[derive(Debug, Default)]
 pub(super) struct RecordBuffer {
     enabled: bool,
     events: Vec<Event>,
-    /// Exchanges that were avoided when last looked at.
+    /// Whether each exchange was avoided, as last recorded.
     avoided: Vec<(ExchangeId, bool)>,
-    /// Connections from callers when last noted.
+    /// Number of caller connections, as last recorded.
     caller_conns: usize,
-    /// The end is noted.
+    /// Whether the end of the process is recorded.
     stopped: bool,
 }
 
-fn whole_us(span: Duration) -> u64 {
-    u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
+fn whole_us(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
 fn unix_us(at: SystemTime) -> u64 {
@@ -43,8 +43,8 @@
     ms.clamp(0.0, f64::from(u32::MAX)) as u32
 }
 
-fn recorded_uid(name: CallUid) -> RecordedCall {
-    RecordedCall(u64::from_str_radix(name.as_str(), 16).unwrap_or_default())
+fn recorded_uid(uid: CallUid) -> RecordedUid {
+    RecordedUid(u64::from_str_radix(uid.as_str(), 16).unwrap_or_default())
 }
 
 fn recorded_readiness(readiness: Readiness) -> ListedReadiness {
@@ -79,11 +79,11 @@
     }
 }
 
-/// How the last attempt of a call ended, for the reason of its refusal.
+/// How an attempt ended, and why; part of the recorded reason of a refusal or failure.
 pub(super) type AttemptResult = (AttemptOutcome, AttemptReason);
 
 impl Engine {
-    /// Records from now on, beginning with all that a reader has to know first.
+    /// Starts recording, beginning with the classes and exchanges that later events refer to.
     pub fn start_recording(&mut self, is_replacement: bool, effects: &mut Vec<Effect>) {
         self.record_buffer.enabled = true;
         let version = env!("CARGO_PKG_VERSION").to_owned();
@@ -97,7 +97,7 @@
         self.flush_records(effects);
     }
 
-    /// RecordBuffer an event, made only where it is recorded.
+    /// Adds an event to the buffer; it is created only while recording is on.
     pub(super) fn record(&mut self, event: impl FnOnce(&Self) -> Event) {
         if self.record_buffer.enabled {
             let event = event(self);
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Hands the notes of this input on.
+    /// Requests the recording of the buffered events.
     pub(super) fn flush_records(&mut self, effects: &mut Vec<Effect>) {
         if self.record_buffer.events.is_empty() {
             return;
@@ -162,13 +162,13 @@
         });
     }
 
-    /// An attempt has ended without setting the call up.
+    /// Records the end of an attempt that did not establish its call.
     pub(super) fn record_attempt_end(
         &mut self,
         id: CallId,
         to: ExchangeId,
         (outcome, reason): (Outcome, Reason),
-        took: Duration,
+        duration: Duration,
     ) {
         let (outcome, reason) = (recorded_outcome(outcome), recorded_reason(reason));
         if let Some(call) = self.calls.get_mut(&id) {
@@ -176,7 +176,7 @@
         }
         self.record(|engine| {
             let call = &engine.calls[&id];
-            let (attempt, elapsed_us) = (call.attempt_count.min(255) as u8, whole_us(took));
+            let (attempt, elapsed_us) = (call.attempt_count.min(255) as u8, whole_us(duration));
             let (call, exchange) = (recorded_uid(call.uid), engine.exchange_number(to));
             Event::AttemptEnded { call, attempt, exchange, outcome, reason, elapsed_us }
         });
@@ -190,23 +190,23 @@
         });
     }
 
-    /// The decisions turned a call away.
-    pub(super) fn record_refused_call(&mut self, call: &Call, wait: Duration) {
-        let why = match call.last_attempt {
-            Some((outcome, cause)) => RefusalReason::AfterAttempt(outcome, cause),
+    /// Records that the decision module refused a call.
+    pub(super) fn record_refused_call(&mut self, call: &Call, retry_after: Duration) {
+        let reason = match call.last_attempt {
+            Some((outcome, reason)) => RefusalReason::AfterAttempt(outcome, reason),
             None if self.lacks_circuits(call) => RefusalReason::NoCircuit,
             None => RefusalReason::Shed,
         };
-        self.record_refusal(call.uid, why, wait);
+        self.record_refusal(call.uid, reason, retry_after);
     }
 
-    pub(super) fn record_refusal(&mut self, name: CallUid, reason: RefusalReason, wait: Duration) {
+    pub(super) fn record_refusal(&mut self, uid: CallUid, reason: RefusalReason, retry_after: Duration) {
         self.metrics.count_refusal(reason.label());
-        let retry_after_ms = wait.as_millis() as u32;
-        self.record(|_| Event::Refused { call: recorded_uid(name), reason, retry_after_ms });
+        let retry_after_ms = retry_after.as_millis() as u32;
+        self.record(|_| Event::Refused { call: recorded_uid(uid), reason, retry_after_ms });
     }
 
-    /// Whether the group straight to a call's exchange has too few circuits free for it, as last heard.
+    /// Whether the direct group to a call's destination has too few free circuits for it, as last reported.
     fn lacks_circuits(&self, call: &Call) -> bool {
         let free = self
             .exchanges
@@ -217,16 +217,16 @@
     }
 
     pub(super) fn record_failed_call(&mut self, call: &Call, busy: bool) {
-        let why = match call.last_attempt {
+        let reason = match call.last_attempt {
             _ if busy => FailureReason::Busy,
-            Some((outcome, cause)) => FailureReason::AfterAttempt(outcome, cause),
+            Some((outcome, reason)) => FailureReason::AfterAttempt(outcome, reason),
             None => FailureReason::NoRoute,
         };
-        self.record_failure(call.uid, why);
+        self.record_failure(call.uid, reason);
     }
 
-    pub(super) fn record_failure(&mut self, name: CallUid, reason: FailureReason) {
-        self.record(|_| Event::Failed { call: recorded_uid(name), reason });
+    pub(super) fn record_failure(&mut self, uid: CallUid, reason: FailureReason) {
+        self.record(|_| Event::Failed { call: recorded_uid(uid), reason });
     }
 
     pub(super) fn record_abandoned(&mut self, id: CallId) {
@@ -235,18 +235,18 @@
 
     pub(super) fn record_released(
         &mut self,
-        name: CallUid,
+        uid: CallUid,
         at: Option<ExchangeId>,
         by: ReleasedBy,
         cut: bool,
     ) {
         self.record(|engine| {
             let exchange = at.map(|id| engine.exchange_number(id));
-            Event::Released { call: recorded_uid(name), exchange, by, cut }
+            Event::Released { call: recorded_uid(uid), exchange, by, cut }
         });
     }
 
-    /// RecordBuffer what the list says of an exchange, as it now stands.
+    /// Records the entry of an exchange in the list.
     pub(super) fn record_exchange(&mut self, id: ExchangeId) {
         self.record(|engine| {
             let exchange = &engine.exchanges[&id];
@@ -260,7 +260,7 @@
         });
     }
 
-    /// Whether the list says something else of an exchange than it did.
+    /// Whether an entry of the list differs from the previous one of the same exchange.
     pub(super) fn entry_changed(&self, id: ExchangeId, entry: &ListEntry) -> bool {
         self.exchanges.get(&id).is_none_or(|exchange| {
             (exchange.readiness, exchange.number, exchange.zone, exchange.started_at)
@@ -279,7 +279,7 @@
         self.record(|engine| Event::ExchangeConnection { exchange: engine.exchange_number(id), change });
     }
 
-    /// The process ends; noted once.
+    /// Records the end of the process, once.
     pub(super) fn record_stopped(&mut self) {
         if !std::mem::replace(&mut self.record_buffer.stopped, true) {
             self.record(|_| Event::Stopped);
@@ -290,7 +290,8 @@
         self.record(|_| Event::Drain { on, by });
     }
 
-    /// RecordBuffer what the decisions believe of each exchange, and where that has crossed a line.
+    /// Records the number of caller connections and the avoided exchanges where they have changed, and the expected
+    /// delay of every exchange.
     pub(super) fn record_samples(&mut self) {
         self.set_timer(SAMPLE_INTERVAL, Timer::Sample);
         let open = self.caller_conns.len();
@@ -309,12 +310,13 @@
         let counts = self.calls_by_exchange();
         let mut avoided = Vec::with_capacity(listed.len());
         for (id, exchange) in listed {
-            let is = self.controller.avoids(id);
-            let was = self.record_buffer.avoided.iter().any(|(known, avoided)| *known == id && *avoided);
-            if is != was {
-                self.record(|_| Event::Avoidance { exchange, avoided: is });
+            let is_avoided = self.controller.avoids(id);
+            let was_avoided =
+                self.record_buffer.avoided.iter().any(|(known, avoided)| *known == id && *avoided);
+            if is_avoided != was_avoided {
+                self.record(|_| Event::Avoidance { exchange, avoided: is_avoided });
             }
-            avoided.push((id, is));
+            avoided.push((id, is_avoided));
             let expected_ms = whole_ms(self.controller.expected_delay_ms(id));
             let open_attempts = counts.get(&id).map_or(0, |(open_attempts, _)| *open_attempts) as u32;
             self.record(|_| Event::ExpectedDelay { exchange, expected_ms, open_attempts });
--- a/src/engine/sibling.rs
+++ b/src/engine/sibling.rs
@@ -1,5 +1,5 @@
-//! Two processes of one softswitch, for as long as one takes the place of the other: what they tell each other,
-//! and what of the softswitch's limits is this one's.
+//! The handover between two processes of one softswitch while one replaces the other: the messages between them, and
+//! each process's share of the limits.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,39 +12,39 @@
     SettingsError, SiblingMessage, SystemTime, Timer,
 };
 
-/// Descriptors of a process beside its connections to callers and exchanges: standard ones, poll, listeners, the
-/// operators' door, the resolver, the other process, connections that are closing.
+/// File descriptors of a process other than its caller and exchange connections: standard streams, poll, listeners,
+/// operators' interface, resolver, sibling process, connections being closed.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Connections from callers that a process may hold however few descriptors there are.
+/// Caller connections that a process may hold during a handover, however low the limit of descriptors is.
 const MIN_CALLER_CONNS: usize = 4;
 
-/// Which of two processes the other one is.
+/// The role of the sibling process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Role {
-    /// The one whose place this one takes.
+    /// The sibling is being replaced by this process.
     Predecessor,
-    /// The one that takes this one's place, and whether it serves by now.
+    /// The sibling replaces this process; `serving` once it accepts callers.
     Successor { serving: bool },
 }
 
 impl Engine {
-    /// A softswitch that takes the place of another process, and what it asks for first. It has the other's list
-    /// of exchanges and what that has learned, and accepts no connections before it can serve.
+    /// Creates the state of a process that replaces another one, and requests its first effects. It starts with the
+    /// predecessor's list of exchanges and learned values, and accepts no caller connections until it is ready.
     ///
     /// # Errors
-    /// If the module can make no decisions with these settings.
+    /// If the decision module rejects the settings.
     pub fn take_over(
         config: &Config,
-        inheritance: HandoverState,
+        handover: HandoverState,
         now: SystemTime,
         effects: &mut Vec<Effect>,
     ) -> Result<Self, SettingsError> {
-        let HandoverState { list, serial, learned } = inheritance;
+        let HandoverState { list, serial, learned } = handover;
         let config = Config { exchanges: list, list_serial: serial, ..config.clone() };
         let mut engine = Self::new(&config, now, effects)?;
         for (topic, name, values) in learned {
             let exchange = name.as_ref().map(|name| engine.exchange_ids.get(name).copied());
-            // Of an exchange that is in no list any more.
+            // Values of an exchange that is no longer in the list are dropped.
             if exchange != Some(None) {
                 engine.controller.apply_learned(&LearnedValues {
                     topic,
@@ -63,7 +63,7 @@
         Ok(engine)
     }
 
-    /// Begins to serve in the place of another process, once it can.
+    /// Begins to serve in place of the predecessor, once this process is ready.
     pub(super) fn serve_when_ready(&mut self, effects: &mut Vec<Effect>) {
         if !self.accepting_callers && self.sibling == Some(Role::Predecessor) && self.is_ready() {
             self.accepting_callers = true;
@@ -72,16 +72,17 @@
         }
     }
 
-    /// Whether another process serves in the place of this one.
+    /// Whether a successor serves in place of this process.
     pub(super) fn successor_serves(&self) -> bool {
         self.sibling == Some(Role::Successor { serving: true })
     }
 
-    /// Takes this process's part of what the softswitch may hold.
+    /// Sets this process's share of the limits of the softswitch.
     pub(super) fn apply_limits(&mut self) {
         let processes = if self.sibling.is_some() { 2 } else { 1 };
         self.controller.set_process_count(processes);
-        // Callers hold at most a third of the descriptors; the rest is for exchanges and growth.
+        // Caller connections may use half of the descriptors; the rest is for exchanges and for growth. During a
+        // handover each process has half of them for everything.
         let half = self.max_descriptors / 2;
         let others = RESERVED_DESCRIPTORS + 2 * self.exchanges.len();
         self.max_caller_conns = match processes {
@@ -90,8 +91,8 @@
         };
     }
 
-    pub(super) fn handle_sibling_message(&mut self, word: SiblingMessage, effects: &mut Vec<Effect>) {
-        match word {
+    pub(super) fn handle_sibling_message(&mut self, message: SiblingMessage, effects: &mut Vec<Effect>) {
+        match message {
             SiblingMessage::HandoverRequest => self.hand_over(effects),
             SiblingMessage::Serving if self.sibling.is_some() => {
                 self.sibling = Some(Role::Successor { serving: true });
@@ -105,14 +106,14 @@
             SiblingMessage::HangUp { call, cause } => self.hang_up(NO_CALLER_CONN, call, cause, effects),
             SiblingMessage::Ended { call, cut } => self.sibling_reported_end(call, cut, effects),
             SiblingMessage::Release { call, cut } => {
-                let word = CallerMessage::Released { cut };
+                let message = CallerMessage::Released { cut };
                 self.send_release(
                     NO_CALLER_CONN,
-                    self.pending_release(Front::JsonLines, call, word),
+                    self.pending_release(Front::JsonLines, call, message),
                     effects,
                 );
             }
-            // These come before the loop begins, or never.
+            // A successor receives these before it creates its engine; any other process ignores them.
             SiblingMessage::Serving
             | SiblingMessage::Exchange(_)
             | SiblingMessage::Learned { .. }
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Another process asks to take the place of this one.
+    /// Hands over to a successor that requested it: sends the list of exchanges and the learned values.
     fn hand_over(&mut self, effects: &mut Vec<Effect>) {
         self.sibling = Some(Role::Successor { serving: false });
         self.apply_limits();
@@ -146,21 +147,21 @@
         effects.push(Effect::ToSibling(SiblingMessage::HandoverComplete { serial: self.list_serial }));
     }
 
-    /// The other process knows nothing of a call that an exchange says is over.
-    fn sibling_reported_end(&mut self, name: CallUid, cut: bool, effects: &mut Vec<Effect>) {
+    /// Handles the end of a call that an exchange reported to the sibling process, which does not know the call.
+    fn sibling_reported_end(&mut self, uid: CallUid, cut: bool, effects: &mut Vec<Effect>) {
         let outcome = if cut { Outcome::Reset } else { Outcome::Completed };
-        match self.call_ids.get(&name).copied().map(|id| (id, self.calls[&id].phase)) {
-            Some((id, super::Phase::Established { exchange: at })) => {
-                self.end_established(id, at, outcome, ReleasedBy::Exchange, effects);
+        match self.call_ids.get(&uid).copied().map(|id| (id, self.calls[&id].phase)) {
+            Some((id, super::Phase::Established { exchange })) => {
+                self.end_established(id, exchange, outcome, ReleasedBy::Exchange, effects);
             }
             Some(_) => {}
-            None if self.ended_call_uids.contains(&name) => {}
-            None => self.release_unknown_call(name, outcome, effects),
+            None if self.ended_call_uids.contains(&uid) => {}
+            None => self.release_unknown_call(uid, outcome, effects),
         }
     }
 
-    /// The order to stop, and another process serves: callers' connections are closed as they empty, and it ends
-    /// once nothing is open or stands.
+    /// Stops while a successor serves: caller connections are closed as soon as no set-up is open on them, and the
+    /// process exits once no call is left.
     pub(super) fn stop_for_successor(&mut self, effects: &mut Vec<Effect>) {
         if !std::mem::replace(&mut self.stopping_for_successor, true) {
             self.stopping_since = None;
@@ -169,22 +170,26 @@
         self.exit_if_done(effects);
     }
 
-    /// Closes what is empty, and ends if nothing is left.
+    /// Closes the caller connections without an open set-up, and exits if nothing is left.
     pub(super) fn continue_stop_for_successor(&mut self, effects: &mut Vec<Effect>) {
         if !self.stopping_for_successor {
             return;
         }
         self.set_timer(DRAIN_CHECK_INTERVAL, Timer::StopForSuccessor);
-        let open = self.conns_with_open_setups();
-        let empty: Vec<_> =
-            self.caller_conns.keys().filter(|caller_conn| !open.contains(caller_conn)).copied().collect();
-        for caller_conn in empty {
+        let with_open_setups = self.conns_with_open_setups();
+        let unused: Vec<_> = self
+            .caller_conns
+            .keys()
+            .filter(|caller_conn| !with_open_setups.contains(caller_conn))
+            .copied()
+            .collect();
+        for caller_conn in unused {
             self.close_draining_conn(caller_conn, effects);
         }
         self.exit_if_done(effects);
     }
 
-    /// The other process is gone: this one is the softswitch again.
+    /// Handles the end of the sibling process: this process alone is the softswitch again.
     pub(super) fn sibling_disconnected(&mut self, effects: &mut Vec<Effect>) {
         let Some(role) = self.sibling.take() else { return };
         self.apply_limits();
@@ -193,7 +198,7 @@
             effects.push(Effect::Accept(true));
         }
         if std::mem::take(&mut self.stopping_for_successor) {
-            // Its place is empty once more, and it was told to stop.
+            // The successor is gone, but the request to stop is still in force.
             self.handle_input(super::Input::Drain, effects);
         }
     }
