--- a/tests/common/engine_harness.rs
+++ b/tests/common/engine_harness.rs
@@ -1,4 +1,5 @@
-//! Virtual time round one engine: a configuration of an invented deployment, inputs, and what came out.
+//! Harness that runs one engine in virtual time: a configuration of a fictitious deployment, inputs, and the effects
+//! that the engine requests.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -11,8 +12,8 @@
 };
 use swiftlb::interface::{NewCall, Outcome, Readiness, Reason};
 
-/// A configuration with this many exchanges, number 0 being the own one.
-pub fn config_json(listen: &str, names: &str, exchanges: &[String]) -> String {
+/// A configuration in JSON, with an exchange at each of these addresses. Exchange 0 is the home exchange.
+pub fn config_json(listen: &str, resolver: &str, exchanges: &[String]) -> String {
     let members: Vec<String> = exchanges
         .iter()
         .enumerate()
@@ -23,13 +24,13 @@
             )
         })
         .collect();
-    let class = |name: &str, most: u32, worth: u32| {
+    let class = |name: &str, hard_limit_ms: u32, worth: u32| {
         format!(
-            r#"{{"name":"{name}","aimMs":1000,"hardLimitMs":{most},"lateShare":0.25,"worth":{worth},"semantics":"pure"}}"#
+            r#"{{"name":"{name}","aimMs":1000,"hardLimitMs":{hard_limit_ms},"lateShare":0.25,"worth":{worth},"semantics":"pure"}}"#
         )
     };
     format!(
-        r#"{{"name":"n0","listen":"{listen}","operator":"127.0.0.1:0","seed":"8c1f30d27a5be964","names":"{names}",
+        r#"{{"name":"n0","listen":"{listen}","operator":"127.0.0.1:0","seed":"8c1f30d27a5be964","names":"{resolver}",
         "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},
         "known":{{"n":1,"events":[{{"n":1,"members":{{"revision":0,"complete":true,"members":[{}]}}}}]}},
         "settings":{{"balancers":{},"selfIndex":0,"classes":[{},{}],"tenants":[],"overShareWorth":0.1,
@@ -48,12 +49,13 @@
     )
 }
 
+/// The same, parsed, with this many exchanges.
 pub fn config(exchanges: usize) -> Config {
     let addresses: Vec<String> = (0..exchanges).map(|i| format!("10.0.0.{}:5070", i + 1)).collect();
     Config::parse(&config_json("127.0.0.1:0", "127.0.0.1:53", &addresses)).expect("a configuration")
 }
 
-/// A call as the decisions get it.
+/// A call as offered to the decision module.
 pub fn new_call(call: u32, dest: u32) -> NewCall {
     NewCall {
         call,
@@ -70,18 +72,18 @@
     }
 }
 
-/// The link on which the harness's calls come.
+/// The caller connection that the harness opens and places its calls on.
 pub const CALLER_CONN: CallerConnId = 7;
 
-/// One engine, and the time as the test tells it.
+/// An engine in virtual time.
 pub struct EngineHarness {
     pub engine: Engine,
     pub now: SystemTime,
-    /// Everything that has come out since it was last looked at.
+    /// The effects requested since the test last cleared them.
     pub effects: Vec<Effect>,
-    /// The latest way to each exchange, by its place in the list.
+    /// The connections to exchanges requested so far, with the names of the exchanges.
     pub exchange_conns: Vec<(String, ExchangeConnId)>,
-    /// On which way the latest set-up of each call went.
+    /// The set-ups sent so far, with their connections.
     sent_setups: Vec<(CallUid, ExchangeConnId)>,
 }
 
@@ -89,11 +91,12 @@
     CallUid::from_u64(call)
 }
 
-pub fn list_entry(place: usize, readiness: Readiness) -> ListEntry {
+/// The entry of an exchange in the list; its address and name are those of [`config`].
+pub fn list_entry(number: usize, readiness: Readiness) -> ListEntry {
     ListEntry {
-        name: format!("s-{place}").into(),
-        address: format!("10.0.0.{}:5070", place + 1).parse().expect("an address"),
-        number: place as u32,
+        name: format!("s-{number}").into(),
+        address: format!("10.0.0.{}:5070", number + 1).parse().expect("an address"),
+        number: number as u32,
         zone: 0,
         started_at: None,
         readiness,
@@ -101,24 +104,24 @@
 }
 
 impl EngineHarness {
-    /// An engine with this many exchanges and a way up to each, and one link.
+    /// An engine with this many exchanges, an open connection to each, and one caller connection.
     pub fn new(exchanges: usize) -> Self {
         let mut harness = Self::unconnected(exchanges);
-        for place in 1..exchanges {
-            let exchange_conn = harness.exchange_conn(place);
+        for exchange in 1..exchanges {
+            let exchange_conn = harness.exchange_conn(exchange);
             harness.handle(Input::ExchangeConnected { exchange_conn, carries_calls: false });
         }
         harness.effects.clear();
         harness
     }
 
+    /// The same without open connections to the exchanges.
     pub fn unconnected(exchanges: usize) -> Self {
         let config = config(exchanges);
         let now = UNIX_EPOCH + Duration::from_secs(1_800_000_000);
-        let mut seen = Vec::new();
-        let engine = Engine::new(&config, now, &mut seen).expect("settings that make sense");
-        let mut harness =
-            Self { engine, now, effects: seen, exchange_conns: Vec::new(), sent_setups: Vec::new() };
+        let mut effects = Vec::new();
+        let engine = Engine::new(&config, now, &mut effects).expect("valid settings");
+        let mut harness = Self { engine, now, effects, exchange_conns: Vec::new(), sent_setups: Vec::new() };
         harness.note_effects(0);
         harness.handle(Input::CallerConnected { caller_conn: CALLER_CONN, front: Front::JsonLines });
         harness
@@ -138,33 +141,34 @@
         }
     }
 
-    /// The latest way asked for to the exchange at this place.
-    pub fn exchange_conn(&self, place: usize) -> ExchangeConnId {
-        let name = format!("s-{place}");
-        self.exchange_conns.iter().rev().find(|(n, _)| *n == name).expect("a way").1
+    /// The connection to an exchange that was requested last.
+    pub fn exchange_conn(&self, exchange: usize) -> ExchangeConnId {
+        let name = format!("s-{exchange}");
+        self.exchange_conns.iter().rev().find(|(n, _)| *n == name).expect("a requested connection").1
     }
 
-    /// The way to the exchange at this place on which a call's set-up went, else the latest.
-    fn setup_conn(&self, call: u64, place: usize) -> ExchangeConnId {
-        let there = |exchange_conn: &ExchangeConnId| {
-            self.exchange_conns.iter().any(|(n, c)| c == exchange_conn && *n == format!("s-{place}"))
+    /// The connection to an exchange on which the last set-up of a call was sent, otherwise the one requested last.
+    fn setup_conn(&self, call: u64, exchange: usize) -> ExchangeConnId {
+        let leads_there = |exchange_conn: &ExchangeConnId| {
+            self.exchange_conns.iter().any(|(n, c)| c == exchange_conn && *n == format!("s-{exchange}"))
         };
-        let mut went = self
+        let mut used = self
             .sent_setups
             .iter()
             .rev()
             .filter(|(c, _)| *c == call_uid(call))
             .map(|(_, exchange_conn)| *exchange_conn);
-        went.find(there).unwrap_or_else(|| self.exchange_conn(place))
+        used.find(leads_there).unwrap_or_else(|| self.exchange_conn(exchange))
     }
 
+    /// Passes an input to the engine.
     pub fn handle(&mut self, input: Input) {
         let from = self.effects.len();
         self.engine.handle(self.now, input, &mut self.effects);
         self.note_effects(from);
     }
 
-    /// Lets time pass, with every timer rung at its time.
+    /// Advances the time; every timer expires at its time.
     pub fn advance(&mut self, ms: u64) {
         let end = self.now + Duration::from_millis(ms);
         while let Some(at) = self.engine.next_wake().filter(|at| *at <= end) {
@@ -174,11 +178,12 @@
         self.now = end;
     }
 
-    pub fn new_setup(&self, dest: u32, left: u64) -> SetUp {
+    /// A set-up received now, whose caller waits for this long.
+    pub fn new_setup(&self, dest: u32, remaining_ms: u64) -> SetUp {
         SetUp {
             class: "status".to_owned(),
             received: self.now,
-            remaining: Some(Duration::from_millis(left)),
+            remaining: Some(Duration::from_millis(remaining_ms)),
             called_number: Some("7f3a9c21e0b4d655".to_owned()),
             dest,
             width: Some(1.0),
@@ -189,52 +194,55 @@
         }
     }
 
-    pub fn place_call(&mut self, call: u64, dest: u32, left: u64) {
-        let setup = self.new_setup(dest, left);
+    /// Places a call on the harness's caller connection.
+    pub fn place_call(&mut self, call: u64, dest: u32, remaining_ms: u64) {
+        let setup = self.new_setup(dest, remaining_ms);
         self.handle(Input::SetUp { caller_conn: CALLER_CONN, call: call_uid(call), setup });
     }
 
-    pub fn answer(&mut self, call: u64, place: usize) {
-        let exchange_conn = self.setup_conn(call, place);
+    /// An exchange answers a call.
+    pub fn answer(&mut self, call: u64, exchange: usize) {
+        let exchange_conn = self.setup_conn(call, exchange);
         let description = Some(Arc::from("answer"));
         self.handle(Input::Answered { exchange_conn, call: call_uid(call), description });
     }
 
-    pub fn end_call(&mut self, call: u64, place: usize, outcome: Outcome, reason: Reason) {
-        let exchange_conn = self.setup_conn(call, place);
+    /// An exchange ends a call or an attempt.
+    pub fn end_call(&mut self, call: u64, exchange: usize, outcome: Outcome, reason: Reason) {
+        let exchange_conn = self.setup_conn(call, exchange);
         self.handle(Input::Ended { exchange_conn, call: call_uid(call), outcome, reason });
     }
 
-    /// What callers were told of this call.
+    /// The messages sent to callers about a call.
     pub fn caller_messages(&self, call: u64) -> Vec<CallerMessage> {
-        let told = self.effects.iter().filter_map(|effect| match effect {
+        let messages = self.effects.iter().filter_map(|effect| match effect {
             Effect::ToCaller { call: c, message, .. } if *c == call_uid(call) => Some(message.clone()),
             _ => None,
         });
-        told.collect()
+        messages.collect()
     }
 
-    /// What exchanges were told of this call, with the way it went.
+    /// The messages sent to exchanges about a call, with their connections.
     pub fn exchange_messages(&self, call: u64) -> Vec<(ExchangeConnId, ExchangeMessage)> {
-        let sent = self.effects.iter().filter_map(|effect| match effect {
+        let messages = self.effects.iter().filter_map(|effect| match effect {
             Effect::ToExchange { exchange_conn, call: c, message } if *c == call_uid(call) => {
                 Some((*exchange_conn, message.clone()))
             }
             _ => None,
         });
-        sent.collect()
+        messages.collect()
     }
 
-    /// Forgets on which ways set-ups went: a bench makes more of them than a test.
+    /// Clears the list of sent set-ups, which would grow without bound in a benchmark.
     pub fn clear_setups(&mut self) {
         self.sent_setups.clear();
     }
 
-    /// Set-ups sent for this call.
+    /// Number of set-ups sent for a call.
     pub fn setup_count(&self, call: u64) -> usize {
         self.exchange_messages(call)
             .iter()
-            .filter(|(_, word)| matches!(word, ExchangeMessage::SetUp { .. }))
+            .filter(|(_, message)| matches!(message, ExchangeMessage::SetUp { .. }))
             .count()
     }
 }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -1,4 +1,5 @@
-//! The reducer under virtual time: what it guards against, whatever the exchanges, callers and list do.
+//! Tests of the reducer in virtual time: the rules that it enforces whatever the exchanges, the callers and the list of
+//! exchanges do.
 
 #[path = "common/engine_harness.rs"]
 mod engine_harness;
@@ -36,19 +37,19 @@
 }
 
 #[test]
-fn a_stalled_exchange_costs_one_final_answer_at_the_callers_time() {
+fn a_call_to_a_stalled_exchange_fails_once_at_its_deadline() {
     let mut harness = EngineHarness::new(3);
-    // Received 40 ms before its turn came: the caller's clock runs from then.
+    // Handled 40 ms after it was received: the caller's waiting time starts with the reception.
     let mut setup = harness.new_setup(2, 1_000);
     setup.received = harness.now - Duration::from_millis(40);
-    let way = harness.exchange_conn(2);
+    let exchange_conn = harness.exchange_conn(2);
     harness.handle(Input::SetUp { caller_conn: CALLER_CONN, call: call_uid(1), setup });
     harness.advance(955);
     assert_eq!(harness.caller_messages(1), []);
     harness.advance(10);
     assert_eq!(harness.caller_messages(1), [FAILED]);
-    assert_eq!(harness.exchange_messages(1).last(), Some(&(way, ExchangeMessage::Cancel)));
-    // A late answer changes nothing, nor does a late release.
+    assert_eq!(harness.exchange_messages(1).last(), Some(&(exchange_conn, ExchangeMessage::Cancel)));
+    // A late answer has no effect, nor has a late release.
     harness.answer(1, 2);
     harness.end_call(1, 2, Outcome::Completed, Reason::Unspecified);
     harness.advance(3_000);
@@ -56,12 +57,12 @@
 }
 
 #[test]
-fn after_a_reset_the_call_waits_out_the_release_pause_and_has_one_attempt_out() {
+fn after_a_reset_the_next_attempt_is_sent_once_the_release_pause_is_over() {
     let mut harness = EngineHarness::new(4);
     harness.place_call(1, 2, 2_500);
     harness.end_call(1, 2, Outcome::Reset, Reason::Unspecified);
     assert_eq!(harness.setup_count(1), 1);
-    // What the exchange still says of it is stale.
+    // A late message of the exchange about the first attempt is ignored.
     harness.answer(1, 2);
     assert_eq!(harness.caller_messages(1), []);
     harness.advance(499);
@@ -69,14 +70,15 @@
     harness.advance(2);
     assert_eq!(harness.setup_count(1), 2);
     let second = harness.exchange_messages(1).last().map(|(exchange_conn, _)| *exchange_conn);
-    let place =
-        (1..4).find(|place| Some(harness.exchange_conn(*place)) == second).expect("it went somewhere");
-    harness.answer(1, place);
+    let exchange = (1..4)
+        .find(|exchange| Some(harness.exchange_conn(*exchange)) == second)
+        .expect("the second attempt was sent");
+    harness.answer(1, exchange);
     assert_eq!(harness.caller_messages(1).len(), 1);
 }
 
 #[test]
-fn a_caller_that_gives_up_is_owed_nothing_and_its_attempt_is_called_off() {
+fn when_a_caller_abandons_its_call_the_attempt_is_cancelled_and_no_message_is_sent_to_it() {
     let mut harness = EngineHarness::new(3);
     harness.place_call(1, 2, 1_500);
     harness.handle(Input::HangUp { caller_conn: CALLER_CONN, call: call_uid(1), cause: 16 });
@@ -89,7 +91,7 @@
 }
 
 #[test]
-fn a_closed_connection_gives_up_its_open_set_ups_and_leaves_standing_calls() {
+fn a_closed_caller_connection_abandons_its_open_set_ups_and_keeps_established_calls() {
     let mut harness = EngineHarness::new(3);
     harness.place_call(1, 2, 1_500);
     harness.place_call(2, 2, 1_500);
@@ -98,7 +100,7 @@
     harness.handle(Input::CallerDisconnected { caller_conn: CALLER_CONN });
     assert_eq!(harness.exchange_messages(2), [(harness.exchange_conn(2), ExchangeMessage::Cancel)]);
     assert_eq!((harness.exchange_messages(1), harness.engine.call_count()), (vec![], 1));
-    // Its end waits for the next connection of the same front.
+    // The release waits for the next connection of the same front.
     harness.end_call(1, 2, Outcome::Completed, Reason::Unspecified);
     harness.handle(Input::CallerConnected { caller_conn: 8, front: Front::Iax2 });
     assert_eq!(harness.caller_messages(1), []);
@@ -109,7 +111,7 @@
 }
 
 #[test]
-fn a_release_goes_where_calls_were_served_rather_than_where_nothing_was_said() {
+fn a_release_is_sent_on_a_connection_that_served_calls_rather_than_on_a_silent_one() {
     let mut harness = EngineHarness::new(3);
     for caller_conn in [8, 9, 10] {
         harness.handle(Input::CallerConnected { caller_conn, front: Front::JsonLines });
@@ -129,7 +131,7 @@
 }
 
 #[test]
-fn a_caller_may_release_a_standing_call_on_any_connection() {
+fn a_caller_may_release_an_established_call_on_any_connection() {
     let mut harness = EngineHarness::new(3);
     harness.place_call(1, 2, 1_500);
     harness.answer(1, 2);
@@ -142,17 +144,17 @@
 }
 
 #[test]
-fn a_broken_connection_cuts_nothing_that_stands_and_a_refused_one_does() {
+fn a_lost_exchange_connection_keeps_established_calls_and_a_refused_one_cuts_them() {
     let mut harness = EngineHarness::new(4);
     for (call, dest) in [(1, 2), (2, 3)] {
         harness.place_call(call, dest, 1_500);
         harness.answer(call, dest as usize);
     }
     harness.advance(300);
-    for place in [2, 3] {
-        harness.handle(Input::ExchangeDisconnected { exchange_conn: harness.exchange_conn(place) });
+    for exchange in [2, 3] {
+        harness.handle(Input::ExchangeDisconnected { exchange_conn: harness.exchange_conn(exchange) });
     }
-    // Both are dialled again at once. One lives, and the call that stands there ends as it should.
+    // Connections to both are opened at once. Exchange 2 still runs, and its call ends normally.
     let exchange_conn = harness.exchange_conn(2);
     harness.handle(Input::ExchangeConnected { exchange_conn, carries_calls: false });
     assert_eq!((harness.caller_messages(1).len(), harness.caller_messages(2).len()), (1, 1));
@@ -163,13 +165,13 @@
         reason: Reason::Unspecified,
     });
     assert_eq!(harness.caller_messages(1).last(), Some(&CallerMessage::Released { cut: false }));
-    // Nothing runs at an exchange that refuses to connect.
+    // No process listens at an exchange that refuses the connection.
     harness.handle(Input::ExchangeConnectFailed { exchange_conn: harness.exchange_conn(3), refused: true });
     assert_eq!(harness.caller_messages(2).last(), Some(&CUT));
 }
 
 #[test]
-fn what_ran_on_a_connection_that_broke_is_released_before_it_is_sent_there_again() {
+fn a_call_of_a_lost_connection_is_released_at_the_exchange_before_it_is_sent_there_again() {
     let mut harness = EngineHarness::new(2);
     harness.advance(300);
     harness.place_call(1, 1, 2_500);
@@ -182,8 +184,8 @@
     let sent: Vec<_> = harness
         .exchange_messages(1)
         .into_iter()
-        .filter(|(on, _)| *on == exchange_conn)
-        .map(|(_, word)| word)
+        .filter(|(conn, _)| *conn == exchange_conn)
+        .map(|(_, message)| message)
         .collect();
     let [ExchangeMessage::Release { cause: 16 }, ExchangeMessage::SetUp { .. }] = &sent[..] else {
         panic!("{sent:?}")
@@ -193,10 +195,10 @@
 }
 
 #[test]
-fn a_connection_that_is_silent_after_a_set_up_is_replaced_and_one_with_news_is_not() {
+fn an_exchange_connection_is_replaced_if_silent_after_a_set_up_and_kept_if_it_reports_group_state() {
     let mut harness = EngineHarness::new(2);
     let dead = harness.exchange_conn(1);
-    // One that never tells of its group is given more time.
+    // An exchange that never reports the state of its group is given more time.
     let mut other = EngineHarness::new(2);
     other.place_call(1, 1, 3_000);
     other.advance(1_500);
@@ -207,50 +209,51 @@
     harness.advance(140);
     assert_eq!(harness.exchange_conn(1), dead);
     harness.advance(500);
-    let spare = harness.exchange_conn(1);
-    assert_ne!(spare, dead, "nothing was tried beside a silent connection");
+    let replacement = harness.exchange_conn(1);
+    assert_ne!(replacement, dead, "no second connection was opened beside the silent one");
     assert_eq!(harness.exchange_conns.iter().filter(|(n, _)| n == "s-1").count(), 2, "one at a time");
-    harness.handle(Input::ExchangeConnected { exchange_conn: spare, carries_calls: false });
+    harness.handle(Input::ExchangeConnected { exchange_conn: replacement, carries_calls: false });
     assert!(harness.effects.contains(&Effect::CloseExchangeConn { exchange_conn: dead }));
     harness.advance(500);
-    // It comes again on the new one; the exchange is slow, but news of its group shows that the way is not dead.
+    // The set-up is sent again on the new connection. The exchange is slow, but its group reports show that the
+    // connection works.
     assert_eq!(
         harness
             .exchange_messages(1)
             .last()
-            .map(|(exchange_conn, word)| (*exchange_conn, word != &ExchangeMessage::Cancel)),
-        Some((spare, true))
+            .map(|(exchange_conn, message)| (*exchange_conn, message != &ExchangeMessage::Cancel)),
+        Some((replacement, true))
     );
     harness.advance(1);
-    harness.handle(Input::GroupState { exchange_conn: spare, report: vec![9.0, 10.0] });
+    harness.handle(Input::GroupState { exchange_conn: replacement, report: vec![9.0, 10.0] });
     harness.advance(1_500);
-    assert_eq!((harness.setup_count(1), harness.exchange_conn(1)), (2, spare));
+    assert_eq!((harness.setup_count(1), harness.exchange_conn(1)), (2, replacement));
     harness.answer(1, 1);
     assert_eq!(harness.caller_messages(1).len(), 1);
 }
 
 #[test]
-fn a_machine_that_has_vanished_is_noticed_and_its_calls_are_cut_within_8_seconds() {
+fn calls_of_an_exchange_that_became_unreachable_are_cut_within_8_seconds() {
     let mut harness = EngineHarness::new(3);
     harness.place_call(1, 2, 1_500);
     harness.answer(1, 2);
-    let vanished = harness.now;
-    // Its connection stays open and silent, and no new one comes up.
+    let failed_at = harness.now;
+    // Its connection stays open and silent, and no new one can be opened.
     while harness.caller_messages(1).len() < 2 {
-        let dialled = harness.exchange_conns.len();
+        let requested = harness.exchange_conns.len();
         harness.advance(250);
-        if harness.exchange_conns.len() > dialled {
-            let exchange_conn = harness.exchange_conns.last().expect("a way").1;
+        if harness.exchange_conns.len() > requested {
+            let exchange_conn = harness.exchange_conns.last().expect("a requested connection").1;
             harness.advance(500);
             harness.handle(Input::ExchangeConnectFailed { exchange_conn, refused: false });
         }
-        assert!(harness.now.duration_since(vanished).expect("later") < Duration::from_secs(8));
+        assert!(harness.now.duration_since(failed_at).expect("later") < Duration::from_secs(8));
     }
     assert_eq!(harness.caller_messages(1).last(), Some(&CUT));
 }
 
 #[test]
-fn a_connection_from_callers_that_says_nothing_or_has_no_call_is_closed() {
+fn a_caller_connection_without_a_message_or_without_a_call_is_closed() {
     let mut harness = EngineHarness::new(3);
     for caller_conn in [8, 9] {
         harness.handle(Input::CallerConnected { caller_conn, front: Front::JsonLines });
@@ -261,20 +264,20 @@
     let setup = harness.new_setup(2, 1_500);
     harness.handle(Input::SetUp { caller_conn: 9, call: call_uid(1), setup });
     harness.answer(1, 2);
-    // A first call may be written over 2 s, on a poor link.
+    // On a slow network it may take a caller 2 s to write its first set-up.
     harness.advance(2_200);
     assert!(!closed(&harness, 8));
     harness.advance(500);
-    assert_eq!((closed(&harness, 8), closed(&harness, 9)), (true, false), "owed within 3 s");
+    assert_eq!((closed(&harness, 8), closed(&harness, 9)), (true, false), "due within 3 s");
     harness.advance(10_000);
-    assert!(!closed(&harness, 9), "its call stands");
+    assert!(!closed(&harness, 9), "its call is established");
     harness.end_call(1, 2, Outcome::Completed, Reason::Unspecified);
     harness.advance(10_000);
     assert!(closed(&harness, 9));
 }
 
 #[test]
-fn at_the_limit_the_longest_idle_connection_makes_room_and_none_with_an_open_set_up() {
+fn at_the_limit_the_longest_idle_caller_connection_is_closed_and_never_one_with_an_open_set_up() {
     let mut harness = EngineHarness::new(3);
     // The limit is half of 1,024 descriptors, and the harness's own connection is the first.
     let setup = harness.new_setup(2, 3_000);
@@ -296,7 +299,7 @@
     };
     assert_eq!(closed(&harness), [0_u64; 0]);
     harness.handle(Input::CallerConnected { caller_conn: 700, front: Front::JsonLines });
-    assert_eq!(closed(&harness), [102], "the oldest that has said nothing");
+    assert_eq!(closed(&harness), [102], "the oldest without a message");
     for caller_conn in 103..611 {
         harness.handle(Input::HealthCheck { caller_conn, call: call_uid(5) });
     }
@@ -305,35 +308,35 @@
 }
 
 #[test]
-fn figures_that_no_caller_of_the_class_can_mean_go_to_no_exchange() {
+fn a_set_up_with_values_that_are_invalid_for_its_class_fails_and_is_not_sent() {
     let mut harness = EngineHarness::new(3);
     harness.handle(Input::CallerConnected { caller_conn: 8, front: Front::JsonLines });
-    let good = harness.new_setup(2, 3_000);
-    let wrong = [
-        SetUp { remaining: Some(Duration::from_secs(1 << 40)), ..good.clone() },
-        SetUp { width: Some(2.0), ..good.clone() },
-        SetUp { class: "other".to_owned(), ..good.clone() },
+    let valid = harness.new_setup(2, 3_000);
+    let invalid = [
+        SetUp { remaining: Some(Duration::from_secs(1 << 40)), ..valid.clone() },
+        SetUp { width: Some(2.0), ..valid.clone() },
+        SetUp { class: "other".to_owned(), ..valid.clone() },
     ];
-    for (call, setup) in (1..).zip(wrong) {
+    for (call, setup) in (1..).zip(invalid) {
         harness.handle(Input::SetUp { caller_conn: 8, call: call_uid(call), setup });
         assert_eq!((harness.caller_messages(call), harness.setup_count(call)), (vec![FAILED], 0));
     }
-    // Whoever goes on like that is not listened to for ever.
+    // After the fourth malformed message the connection is closed.
     harness.handle(Input::MalformedSetUp { caller_conn: 8, call: call_uid(9) });
     assert!(harness.effects.contains(&Effect::CloseCallerConn { caller_conn: 8 }));
 }
 
 #[test]
-fn state_shrinks_again_however_many_exchanges_calls_and_connections_have_come_and_gone() {
+fn state_does_not_grow_with_the_number_of_past_exchanges_calls_and_connections() {
     let mut harness = EngineHarness::new(3);
     let mut entries = Vec::new();
     for round in 0..40 {
         let mut list = vec![list_entry(0, Readiness::Ready), list_entry(1, Readiness::Ready)];
-        let mut later = list_entry(2, Readiness::Ready);
-        later.name = format!("s-{round}-2").into();
-        list.push(later);
+        let mut replaced = list_entry(2, Readiness::Ready);
+        replaced.name = format!("s-{round}-2").into();
+        list.push(replaced);
         harness.handle(Input::List(list));
-        let exchange_conn = harness.exchange_conns.last().expect("a way").1;
+        let exchange_conn = harness.exchange_conns.last().expect("a requested connection").1;
         harness.handle(Input::ExchangeConnected { exchange_conn, carries_calls: false });
         for call in 0..50 {
             let (caller_conn, call) = (1_000 + 50 * round + call, 50 * round + call);
@@ -363,7 +366,7 @@
 }
 
 #[test]
-fn a_refused_connection_proves_that_nothing_ran_and_the_call_goes_elsewhere_at_once() {
+fn a_call_whose_exchange_refuses_the_connection_is_sent_to_another_one_at_once() {
     let mut harness = EngineHarness::new(4);
     harness.handle(Input::ExchangeDisconnected { exchange_conn: harness.exchange_conn(2) });
     harness.place_call(1, 2, 1_500);
@@ -373,52 +376,52 @@
 }
 
 #[test]
-fn nothing_goes_to_an_exchange_that_drains_and_one_that_is_gone_cuts_its_calls() {
+fn a_draining_exchange_gets_no_set_ups_and_calls_of_a_removed_one_are_cut() {
     let mut harness = EngineHarness::new(4);
     harness.place_call(1, 2, 1_500);
     harness.answer(1, 2);
-    let list = |two: Option<Readiness>| {
-        let places = [Some(Readiness::Ready), Some(Readiness::Ready), two, Some(Readiness::Ready)];
-        let entries = places.iter().enumerate().filter_map(|(i, r)| r.map(|r| list_entry(i, r)));
+    let list = |readiness_of_2: Option<Readiness>| {
+        let all = [Some(Readiness::Ready), Some(Readiness::Ready), readiness_of_2, Some(Readiness::Ready)];
+        let entries = all.iter().enumerate().filter_map(|(i, r)| r.map(|r| list_entry(i, r)));
         Input::List(entries.collect())
     };
     harness.handle(list(Some(Readiness::Draining)));
-    let drained = harness.exchange_conn(2);
+    let draining = harness.exchange_conn(2);
     harness.place_call(2, 2, 1_500);
-    assert!(harness.exchange_messages(2).iter().all(|(exchange_conn, _)| *exchange_conn != drained));
+    assert!(harness.exchange_messages(2).iter().all(|(exchange_conn, _)| *exchange_conn != draining));
     assert_eq!(harness.caller_messages(1).len(), 1);
     harness.handle(list(None));
     harness.advance(1_000);
     assert_eq!(harness.caller_messages(1).last(), Some(&CUT));
-    assert!(harness.effects.contains(&Effect::CloseExchangeConn { exchange_conn: drained }));
+    assert!(harness.effects.contains(&Effect::CloseExchangeConn { exchange_conn: draining }));
 }
 
 #[test]
-fn a_new_exchange_at_an_old_address_is_another_one() {
+fn an_exchange_with_a_new_name_at_a_known_address_gets_its_own_connection() {
     let mut harness = EngineHarness::new(3);
-    let mut later = list_entry(2, Readiness::Ready);
-    later.name = "s-2b".into();
-    let list = vec![list_entry(0, Readiness::Ready), list_entry(1, Readiness::Ready), later];
+    let mut replaced = list_entry(2, Readiness::Ready);
+    replaced.name = "s-2b".into();
+    let list = vec![list_entry(0, Readiness::Ready), list_entry(1, Readiness::Ready), replaced];
     harness.handle(Input::List(list));
-    let dialled = harness.exchange_conns.last().expect("a way").clone();
-    assert_eq!(dialled.0, "s-2b");
-    harness.handle(Input::ExchangeConnected { exchange_conn: dialled.1, carries_calls: false });
+    let requested = harness.exchange_conns.last().expect("a requested connection").clone();
+    assert_eq!(requested.0, "s-2b");
+    harness.handle(Input::ExchangeConnected { exchange_conn: requested.1, carries_calls: false });
     harness.place_call(1, 2, 1_500);
     assert_eq!(
         harness.exchange_messages(1).first().map(|(exchange_conn, _)| *exchange_conn),
-        Some(dialled.1)
+        Some(requested.1)
     );
 }
 
 #[test]
-fn a_set_up_under_an_id_in_use_costs_its_own_connection_and_not_the_call_that_has_it() {
+fn a_set_up_with_an_id_in_use_closes_its_connection_and_does_not_affect_the_call_with_that_id() {
     let mut harness = EngineHarness::new(3);
     harness.place_call(1, 2, 1_500);
     for (caller_conn, malformed) in [(8, false), (9, true)] {
         harness.handle(Input::CallerConnected { caller_conn, front: Front::JsonLines });
         let setup = harness.new_setup(1, 1_500);
         harness.handle(Input::SetUp { caller_conn, call: call_uid(caller_conn), setup });
-        // Nor may another connection give it up.
+        // A set-up cannot be abandoned on another connection either.
         harness.handle(Input::HangUp { caller_conn, call: call_uid(1), cause: 16 });
         let setup = harness.new_setup(1, 1_500);
         harness.handle(if malformed {
@@ -426,25 +429,25 @@
         } else {
             Input::SetUp { caller_conn, call: call_uid(1), setup }
         });
-        // What else was open there gets its one answer, and the connection is closed.
+        // The other set-up that is open there gets its one answer, and the connection is closed.
         assert_eq!(harness.caller_messages(caller_conn), [FAILED]);
         assert_eq!(harness.effects.last(), Some(&Effect::CloseCallerConn { caller_conn }));
     }
     harness.answer(1, 2);
     assert_eq!((harness.setup_count(1), harness.caller_messages(1).len()), (1, 1));
-    // Twice under one id on one connection: one answer, whatever the exchange says later.
+    // Two set-ups with one id on one connection get one answer, whatever the exchange reports later.
     harness.place_call(2, 2, 1_500);
     harness.place_call(2, 2, 1_500);
     harness.answer(2, 2);
     assert_eq!((harness.caller_messages(2), harness.caller_messages(1).len()), (vec![FAILED], 1));
     assert_eq!(
-        harness.exchange_messages(2).last().map(|(_, word)| word.clone()),
+        harness.exchange_messages(2).last().map(|(_, message)| message.clone()),
         Some(ExchangeMessage::Cancel)
     );
 }
 
 #[test]
-fn a_new_configuration_changes_settings_and_resolver_and_loses_no_call() {
+fn a_reload_changes_settings_and_resolver_and_keeps_calls_and_connections() {
     let mut harness = EngineHarness::new(3);
     harness.place_call(1, 2, 2_000);
     harness.place_call(2, 1, 2_000);
@@ -455,13 +458,13 @@
     config.settings.classes.reverse();
     config.settings.max_retry_after_ms = 50.0;
     let config = Box::new(config);
-    let ways = harness.exchange_conns.len();
+    let requested = harness.exchange_conns.len();
     harness.handle(Input::Reload(config.clone()));
     assert!(harness.effects.contains(&Effect::Reconfigure(config.clone())));
     assert_eq!(
         (harness.exchange_conns.len(), harness.engine.call_count()),
-        (ways, 2),
-        "nothing is dialled or lost"
+        (requested, 2),
+        "no new connection, no lost call"
     );
     harness.answer(1, 2);
     harness.end_call(2, 1, Outcome::Completed, Reason::Unspecified);
@@ -474,19 +477,19 @@
     harness.place_call(3, 2, 2_000);
     let refused = CallerMessage::Refused { retry_after: Duration::from_millis(50) };
     assert_eq!(harness.caller_messages(3), std::slice::from_ref(&refused));
-    // One that makes no sense is refused whole: neither its settings nor its resolver count.
-    let mut wrong = config;
-    wrong.settings.attempt_limit = 0;
-    wrong.settings.max_retry_after_ms = 0.0;
+    // An invalid configuration is rejected completely: neither its settings nor its resolver apply.
+    let mut invalid = config;
+    invalid.settings.attempt_limit = 0;
+    invalid.settings.max_retry_after_ms = 0.0;
     harness.effects.clear();
-    harness.handle(Input::Reload(wrong));
+    harness.handle(Input::Reload(invalid));
     assert!(!harness.effects.iter().any(|effect| matches!(effect, Effect::Reconfigure(_))));
     harness.place_call(4, 2, 2_000);
     assert_eq!(harness.caller_messages(4), [refused]);
 }
 
 #[test]
-fn after_the_order_to_stop_it_serves_on_and_ends_with_the_last_call() {
+fn after_the_request_to_stop_it_still_serves_calls_and_exits_with_the_end_of_the_last_one() {
     let mut harness = EngineHarness::new(3);
     harness.place_call(1, 2, 2_000);
     harness.handle(Input::Drain);
@@ -498,7 +501,7 @@
     assert!(!harness.effects.contains(&Effect::Exit));
     harness.answer(2, 1);
     harness.end_call(1, 2, Outcome::Completed, Reason::Unspecified);
-    // A call that stands would be cut with the process.
+    // The exit of the process would cut an established call.
     harness.advance(1_000);
     assert!(!harness.effects.contains(&Effect::Exit));
     harness.handle(Input::HangUp { caller_conn: CALLER_CONN, call: call_uid(2), cause: 16 });
@@ -506,7 +509,7 @@
 }
 
 #[test]
-fn a_call_that_stands_for_long_does_not_keep_a_process_that_was_told_to_stop() {
+fn a_long_call_delays_the_exit_after_the_request_to_stop_by_10_s_at_most() {
     let mut harness = EngineHarness::new(3);
     harness.place_call(1, 1, 3_000);
     harness.answer(1, 1);
@@ -518,7 +521,7 @@
 }
 
 #[test]
-fn a_refused_call_hears_at_once_when_to_come_back() {
+fn a_refused_call_gets_its_retry_after_at_once() {
     let mut harness = EngineHarness::new(2);
     let report = vec![0.0, 10.0];
     harness.handle(Input::GroupState { exchange_conn: harness.exchange_conn(1), report });
@@ -530,7 +533,7 @@
 }
 
 #[test]
-fn the_end_of_a_call_from_before_the_last_start_is_passed_on_and_that_of_one_from_here_is_not() {
+fn the_end_of_a_call_established_before_the_start_is_forwarded_once_and_that_of_an_abandoned_call_is_not() {
     let mut harness = EngineHarness::new(3);
     harness.end_call(9, 2, Outcome::Completed, Reason::Unspecified);
     harness.end_call(9, 1, Outcome::Completed, Reason::Unspecified);
@@ -543,7 +546,7 @@
 }
 
 #[test]
-fn a_release_that_crossed_the_close_of_its_connection_is_sent_again_on_another() {
+fn a_release_sent_while_its_connection_was_being_closed_is_sent_again_on_another() {
     let mut harness = EngineHarness::new(3);
     for call in [1, 2] {
         harness.place_call(call, 2, 1_500);
@@ -565,20 +568,22 @@
 }
 
 #[test]
-fn an_exchange_that_has_just_started_gets_a_part_of_its_calls_only() {
+fn a_cold_exchange_gets_only_a_part_of_its_calls() {
     let mut harness = EngineHarness::new(3);
     for call in 0..60 {
         harness.advance(100);
         harness.place_call(call, 2, 1_500);
         harness.answer(call, 2);
     }
-    // Both ways of telling its start: the list as it comes, and the list of the configuration.
-    let mut list: Vec<_> = (0..3).map(|place| list_entry(place, Readiness::Ready)).collect();
-    let started =
+    // The start time is converted to milliseconds and back, as it is in the resolver and the configuration.
+    let mut list: Vec<_> = (0..3).map(|exchange| list_entry(exchange, Readiness::Ready)).collect();
+    let started_ms =
         swiftlb::engine::duration_to_ms(harness.now.duration_since(std::time::UNIX_EPOCH).expect("a time"));
-    list[2].started_at = Some(std::time::UNIX_EPOCH + swiftlb::engine::duration_from_ms(started));
+    list[2].started_at = Some(std::time::UNIX_EPOCH + swiftlb::engine::duration_from_ms(started_ms));
     assert_eq!(
-        list[2].started_at.map(|born| harness.now.duration_since(born).is_ok_and(|d| d.as_millis() < 2)),
+        list[2]
+            .started_at
+            .map(|started_at| harness.now.duration_since(started_at).is_ok_and(|d| d.as_millis() < 2)),
         Some(true)
     );
     harness.handle(Input::List(list));
@@ -595,7 +600,7 @@
 }
 
 #[test]
-fn transit_that_is_reset_is_turned_back_at_once_and_not_after_the_release_pause() {
+fn a_call_in_transit_whose_attempt_is_reset_fails_at_once_without_a_release_pause() {
     let mut harness = EngineHarness::new(3);
     let mut setup = harness.new_setup(2, 1_500);
     setup.transit_from = Some(1);
@@ -605,22 +610,22 @@
 }
 
 #[test]
-fn a_call_is_not_kept_waiting_for_an_exchange_that_is_gone() {
+fn a_call_does_not_wait_for_an_exchange_that_was_removed_from_the_list() {
     let mut harness = EngineHarness::new(4);
     harness.handle(Input::ExchangeDisconnected { exchange_conn: harness.exchange_conn(2) });
     harness.place_call(1, 2, 1_500);
-    // Its connection is being dialled when the list tells that it is gone; its address is dialled no more.
-    harness.handle(Input::List([0, 1, 3].map(|place| list_entry(place, Readiness::Ready)).to_vec()));
-    let dialled = harness.exchange_conns.len();
+    // The exchange is removed while a connection to it is being opened; no further connection is requested.
+    harness.handle(Input::List([0, 1, 3].map(|exchange| list_entry(exchange, Readiness::Ready)).to_vec()));
+    let requested = harness.exchange_conns.len();
     harness.handle(Input::ExchangeConnectFailed { exchange_conn: harness.exchange_conn(2), refused: true });
     harness.advance(2_000);
-    assert_eq!((harness.exchange_conns.len(), harness.caller_messages(1).len()), (dialled, 1));
+    assert_eq!((harness.exchange_conns.len(), harness.caller_messages(1).len()), (requested, 1));
 }
 
-/// Guards against a second set-up of a call that stood without its answer having come: its caller was never told that
-/// the first one was over.
+/// Guards against a second set-up of a call that was established but whose answer was lost. Its caller was never told
+/// that the first one had ended.
 #[test]
-fn a_call_whose_answer_was_lost_fails_when_its_normal_end_comes() {
+fn a_call_whose_answer_was_lost_fails_at_its_normal_end() {
     let mut harness = EngineHarness::new(3);
     harness.place_call(1, 1, 3_000);
     harness.advance(600);
@@ -630,7 +635,7 @@
     assert_eq!(
         harness.exchange_messages(1).len(),
         1,
-        "neither set up again nor called off: {:?}",
+        "neither set up again nor cancelled: {:?}",
         harness.exchange_messages(1)
     );
 }
