--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Sending callers away at an operator's order, in virtual time and on loopback.
+//! Tests of the drain that an operator orders, in virtual time and on loopback.
 
 #[path = "common/endpoints.rs"]
 mod endpoints;
@@ -12,18 +12,18 @@
 use swiftlb::interface::{Outcome, Reason};
 use swiftlb::ops::{OperatorReply, OperatorRequest};
 
-fn order(harness: &mut EngineHarness, request: OperatorRequest) {
+fn request(harness: &mut EngineHarness, request: OperatorRequest) {
     harness.handle(Input::OperatorRequest { request_id: 1, request });
 }
 
-/// What the front's test says now.
-fn takes_work(harness: &mut EngineHarness) -> bool {
+/// Whether a health check passes now.
+fn health_check_passes(harness: &mut EngineHarness) -> bool {
     harness.effects.clear();
     harness.handle(Input::HealthCheck { caller_conn: CALLER_CONN, call: call_uid(99) });
     harness.caller_messages(99) == [CallerMessage::HealthCheckResult { passed: true }]
 }
 
-/// Ways to callers that were to be closed since it was last looked at.
+/// Caller connections that the engine has closed since the effects were last cleared.
 fn closed(harness: &EngineHarness) -> Vec<u64> {
     let closed = harness.effects.iter().filter_map(|effect| match effect {
         Effect::CloseCallerConnIfIdle { caller_conn } | Effect::CloseCallerConn { caller_conn } => {
@@ -35,52 +35,52 @@
 }
 
 #[test]
-fn the_test_fails_at_once_and_passes_again_at_once() {
+fn the_health_check_fails_as_soon_as_a_drain_starts_and_passes_as_soon_as_it_stops() {
     let mut harness = EngineHarness::new(3);
-    assert!(takes_work(&mut harness));
-    order(&mut harness, OperatorRequest::DrainStart);
-    assert!(!takes_work(&mut harness));
-    // A second order is as good as one.
-    order(&mut harness, OperatorRequest::DrainStart);
+    assert!(health_check_passes(&mut harness));
+    request(&mut harness, OperatorRequest::DrainStart);
+    assert!(!health_check_passes(&mut harness));
+    // A second request to start has no further effect.
+    request(&mut harness, OperatorRequest::DrainStart);
     harness.advance(5_000);
-    assert!(!takes_work(&mut harness));
-    // The process still can serve, which is another question.
-    order(&mut harness, OperatorRequest::Readiness);
+    assert!(!health_check_passes(&mut harness));
+    // The process is still ready to serve: readiness does not depend on the drain.
+    request(&mut harness, OperatorRequest::Readiness);
     assert!(harness.effects.contains(&Effect::ToOperator { request_id: 1, reply: OperatorReply::Done }));
-    order(&mut harness, OperatorRequest::DrainStop);
-    assert!(takes_work(&mut harness));
-    order(&mut harness, OperatorRequest::DrainStop);
+    request(&mut harness, OperatorRequest::DrainStop);
+    assert!(health_check_passes(&mut harness));
+    request(&mut harness, OperatorRequest::DrainStop);
     harness.handle(Input::CallerConnected { caller_conn: 8, front: Front::JsonLines });
     harness.place_call(1, 1, 3_000);
     harness.answer(1, 1);
     harness.advance(1_000);
     assert!(
-        takes_work(&mut harness) && !closed(&harness).contains(&CALLER_CONN),
-        "nobody is sent away any more"
+        health_check_passes(&mut harness) && !closed(&harness).contains(&CALLER_CONN),
+        "no connection is closed any more"
     );
 }
 
 #[test]
-fn a_connection_is_closed_once_nothing_is_open_on_it_and_calls_are_served_meanwhile() {
+fn during_a_drain_calls_are_served_and_connections_without_an_open_set_up_are_closed() {
     let mut harness = EngineHarness::new(3);
-    order(&mut harness, OperatorRequest::DrainStart);
+    request(&mut harness, OperatorRequest::DrainStart);
     harness.place_call(1, 1, 3_000);
     harness.handle(Input::CallerConnected { caller_conn: 8, front: Front::JsonLines });
     harness.advance(290);
-    assert_eq!(closed(&harness), [0; 0], "the front may still be sending");
+    assert_eq!(closed(&harness), [0; 0], "the front may still open connections");
     harness.advance(20);
-    assert_eq!(closed(&harness), [8], "one with an open set-up stays");
+    assert_eq!(closed(&harness), [8], "one with an open set-up is kept");
     harness.effects.clear();
     harness.end_call(1, 1, Outcome::Busy, Reason::UserBusy);
     assert_eq!(harness.caller_messages(1), [CallerMessage::Failed { busy: true }]);
-    assert_eq!(closed(&harness), [CALLER_CONN], "closed behind its answer");
+    assert_eq!(closed(&harness), [CALLER_CONN], "closed after the answer");
 }
 
 #[test]
-fn a_connection_that_goes_on_being_used_is_emptied_in_time() {
+fn a_connection_that_is_used_throughout_a_drain_is_closed_before_4_s() {
     let mut harness = EngineHarness::new(3);
     harness.place_call(1, 1, 3_000);
-    order(&mut harness, OperatorRequest::DrainStart);
+    request(&mut harness, OperatorRequest::DrainStart);
     harness.advance(1_500);
     harness.place_call(2, 1, 3_000);
     harness.advance(1_000);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn one_connection_is_kept_for_the_ends_of_calls_that_stand_while_that_is_allowed() {
+fn one_connection_is_kept_for_the_releases_of_established_calls_until_shortly_before_4_s() {
     let mut harness = EngineHarness::new(3);
     harness.place_call(1, 1, 3_000);
     harness.answer(1, 1);
@@ -101,7 +101,7 @@
     let setup = harness.new_setup(1, 3_000);
     harness.handle(Input::SetUp { caller_conn: 8, call: call_uid(2), setup });
     harness.answer(2, 1);
-    order(&mut harness, OperatorRequest::DrainStart);
+    request(&mut harness, OperatorRequest::DrainStart);
     harness.advance(320);
     assert_eq!(closed(&harness), [8]);
     harness.handle(Input::CallerDisconnected { caller_conn: 8 });
@@ -110,15 +110,15 @@
     harness.end_call(2, 1, Outcome::Completed, Reason::Unspecified);
     assert!(harness.caller_messages(2).contains(&CallerMessage::Released { cut: false }));
     harness.advance(80);
-    assert!(closed(&harness).contains(&CALLER_CONN), "well before 4 s it goes too");
+    assert!(closed(&harness).contains(&CALLER_CONN), "it is closed too, before 4 s");
 }
 
 #[test]
-fn a_call_that_stands_is_released_whenever_a_way_comes() {
+fn a_release_without_a_caller_connection_is_sent_once_callers_are_back() {
     let mut harness = EngineHarness::new(3);
     harness.place_call(1, 1, 3_000);
     harness.answer(1, 1);
-    order(&mut harness, OperatorRequest::DrainStart);
+    request(&mut harness, OperatorRequest::DrainStart);
     harness.advance(400);
     harness.handle(Input::CallerDisconnected { caller_conn: CALLER_CONN });
     harness.end_call(1, 1, Outcome::Completed, Reason::Unspecified);
@@ -128,10 +128,14 @@
     harness.handle(Input::HealthCheck { caller_conn: 8, call: call_uid(99) });
     harness.handle(Input::CallerConnected { caller_conn: 10, front: Front::JsonLines });
     harness.advance(1_000);
-    assert_eq!(harness.caller_messages(1), [], "whoever only tests or says nothing does not read it");
-    order(&mut harness, OperatorRequest::DrainStop);
+    assert_eq!(
+        harness.caller_messages(1),
+        [],
+        "not sent on connections with health checks only or without a message"
+    );
+    request(&mut harness, OperatorRequest::DrainStop);
     harness.advance(200);
-    assert_eq!(harness.caller_messages(1), [], "callers are on their way back");
+    assert_eq!(harness.caller_messages(1), [], "callers are only about to connect");
     harness.handle(Input::CallerConnected { caller_conn: 9, front: Front::JsonLines });
     let setup = harness.new_setup(1, 3_000);
     harness.handle(Input::SetUp { caller_conn: 9, call: call_uid(2), setup });
@@ -144,22 +148,22 @@
 }
 
 #[test]
-fn on_sockets_bytes_that_crossed_are_served_and_handsets_are_told_themselves() {
+fn on_sockets_a_set_up_in_transit_is_served_and_iax2_calls_are_refused_during_a_drain() {
     let exchange = ListeningExchange::new();
-    let switch = Softswitch::start(&[exchange.address()], &[]);
+    let softswitch = Softswitch::start(&[exchange.address()], &[]);
     let mut exchange = exchange.accept();
-    let handsets = switch.iax2_address.expect("it is on");
+    let iax2_address = softswitch.iax2_address.expect("IAX2 is enabled");
     let (mut caller, mut idle) =
-        (JsonLinesConn::connect(switch.address), JsonLinesConn::connect(switch.address));
-    let (mut standing, mut late) = (Iax2Endpoint::new(20), Iax2Endpoint::new(30));
-    standing.call(handsets, "17");
-    let handset = exchange.receive().expect("a set-up").text("uid");
-    exchange.send(&format!(r#"{{"kind":"running","uid":"{handset}","meta":{{}},"body":""}}"#));
-    standing.expect(FrameType::Iax, iax::ACCEPT);
-    standing.expect(FrameType::Control, control::ANSWER);
+        (JsonLinesConn::connect(softswitch.address), JsonLinesConn::connect(softswitch.address));
+    let (mut established, mut late) = (Iax2Endpoint::new(20), Iax2Endpoint::new(30));
+    established.call(iax2_address, "17");
+    let iax2_uid = exchange.receive().expect("a set-up").text("uid");
+    exchange.send(&format!(r#"{{"kind":"running","uid":"{iax2_uid}","meta":{{}},"body":""}}"#));
+    established.expect(FrameType::Iax, iax::ACCEPT);
+    established.expect(FrameType::Control, control::ANSWER);
     idle.assert_quiet();
-    assert_eq!(switch.operator_request("PUT /ops/drain/start").0, 200);
-    // Half a set-up keeps its connection; the whole of it is served, and then the connection is closed.
+    assert_eq!(softswitch.operator_request("PUT /ops/drain/start").0, 200);
+    // A connection with half a set-up is kept. When the rest arrives, the call is served and the connection is closed.
     let setup = launch_line("00000000000000aa", 1, 3_000);
     caller.send_raw(&setup.as_bytes()[..40]);
     assert!(idle.receive().is_none());
@@ -168,13 +172,13 @@
     exchange.send(r#"{"kind":"stop","uid":"00000000000000aa","meta":{"note":"user_busy"},"reason":17}"#);
     caller.expect("stop", "00000000000000aa");
     assert!(caller.receive().is_none());
-    late.call(handsets, "17");
+    late.call(iax2_address, "17");
     assert_eq!(late.expect(FrameType::Iax, iax::REJECT).cause_code, Some(34));
-    exchange.send(&format!(r#"{{"kind":"stop","uid":"{handset}","meta":{{}},"reason":16}}"#));
-    assert_eq!(standing.expect(FrameType::Iax, iax::HANGUP).cause_code, Some(16));
-    assert_eq!(switch.operator_request("PUT /ops/drain/stop").0, 200);
-    JsonLinesConn::connect(switch.address).assert_quiet();
-    let mut phone = Iax2Endpoint::new(40);
-    phone.call(handsets, "17");
+    exchange.send(&format!(r#"{{"kind":"stop","uid":"{iax2_uid}","meta":{{}},"reason":16}}"#));
+    assert_eq!(established.expect(FrameType::Iax, iax::HANGUP).cause_code, Some(16));
+    assert_eq!(softswitch.operator_request("PUT /ops/drain/stop").0, 200);
+    JsonLinesConn::connect(softswitch.address).assert_quiet();
+    let mut next = Iax2Endpoint::new(40);
+    next.call(iax2_address, "17");
     assert_eq!(exchange.receive().expect("a set-up").text("kind"), "launch");
 }
