--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -5,10 +5,10 @@
 //! module decide, and appends the resulting [`Effect`]s. Some rules are enforced here, whatever the decision
 //! module, the callers and the exchanges do:
 //!
-//! - every call gets exactly one final outcome, at its deadline at the latest;
+//! - every call gets exactly one final outcome, at most `DECISION_GRACE` after its deadline;
 //! - a call has at most one open attempt;
 //! - after a time-out, reset or cancel a call is not sent again before the release pause is over;
-//! - no new set-up is sent to an exchange that is draining.
+//! - no set-up is sent to an exchange once the grace period after the notice of its draining or removal is over.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet, VecDeque};
@@ -57,7 +57,7 @@
 /// never read a connection on which it has sent nothing.
 const PREFERRED_CONN_WAIT: Duration = Duration::from_millis(250);
 /// Time within which a caller connection must carry its first line. A well-behaved caller may take 2 s to write
-/// it, and a faulty one must get a reaction within 3 s.
+/// it, and a faulty one must get a reply or be disconnected within 3 s.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time after which a caller connection without a call is closed. Callers close idle connections after 4 s
 /// themselves, so one that is open for longer would stay open indefinitely.
@@ -986,9 +986,9 @@
         if front == Front::JsonLines {
             let open = self.caller_conns.values().filter(|conn| conn.front == Front::JsonLines).count();
             if open >= self.max_caller_conns && !self.close_least_used_conn(effects) {
-                let text =
-                    "caller connections are at their limit and all have open set-ups; closing the new one";
-                effects.push(Effect::Log(text.to_owned()));
+                effects.push(Effect::Log(
+                    "no caller connection can be closed to make room; closing the new one".to_owned(),
+                ));
                 effects.push(Effect::CloseCallerConn { caller_conn });
                 return;
             }
@@ -1169,10 +1169,10 @@
             || call.attempt_count > self.attempt_limit
             || self.now >= call.deadline
         {
-            let (uid, attempt) = (call.uid, call.attempt_count);
+            let uid = call.uid;
             effects.push(Effect::Log(format!(
-                "attempt {attempt} of call {uid:?} not sent (release pause: {paused}, exchange draining or removed: \
-                 {unavailable}, own exchange: {own}); the call is returned to the decision module"
+                "attempt of call {uid:?} not sent (release pause: {paused}, exchange draining or removed: \
+                 {unavailable}, own exchange: {own}); the decision module decides again"
             )));
             self.record_attempt_end(id, to, (Outcome::NotSent, Reason::Unspecified), Duration::ZERO);
             self.report_outcome(id, to, Outcome::NotSent, Reason::Unspecified, false);
