--- a/src/engine/exchanges.rs
+++ b/src/engine/exchanges.rs
@@ -269,7 +269,10 @@
                 message: ExchangeMessage::Release { cause },
             });
         }
-        let unsent = |call: &Call| matches!(call.phase, Phase::Attempting { exchange, conn: None, .. } if exchange == id);
+        let unsent = |call: &Call| {
+            matches!(call.phase, Phase::Attempting { exchange, conn: None, .. }
+            if exchange == id)
+        };
         for call in self.calls_where(unsent) {
             self.send_setup(call, effects);
         }
@@ -304,7 +307,10 @@
 
     /// Ends the attempts that wait for a connection. Their set-ups were never sent, so they cannot have taken effect.
     fn fail_unsent_setups(&mut self, id: ExchangeId) {
-        let unsent = |call: &Call| matches!(call.phase, Phase::Attempting { exchange, conn: None, .. } if exchange == id);
+        let unsent = |call: &Call| {
+            matches!(call.phase, Phase::Attempting { exchange, conn: None, .. }
+            if exchange == id)
+        };
         for call in self.calls_where(unsent) {
             self.end_attempt(call, Outcome::NoConnection, Reason::Unspecified);
         }
@@ -480,7 +486,7 @@
         if let Some(exchange) = exchange {
             exchange.reports_group = true;
         }
-        self.probe_answered(exchange_conn, true, Some(report));
+        self.probe_result_received(exchange_conn, true, Some(report));
     }
 
     /// Stores the state of a group from a load report, for the status and the records.
@@ -497,7 +503,7 @@
         }
     }
 
-    pub(super) fn probe_answered(
+    pub(super) fn probe_result_received(
         &mut self,
         exchange_conn: ExchangeConnId,
         answered: bool,
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -38,7 +38,7 @@
 };
 use recording::{AttemptResult, RecordBuffer};
 use sibling::Role;
-use swiftlb_record::{DrainSource, Event as Recorded, FailureReason, RefusalReason, ReleasedBy};
+use swiftlb_record::{DrainSource, Event as RecordEvent, FailureReason, RefusalReason, ReleasedBy};
 
 /// Time after a caller's deadline at which the engine fails the call if the decision module has given no final
 /// answer. Callers on sockets must have theirs within 50 ms of the deadline.
@@ -432,7 +432,7 @@
                         .values()
                         .filter(|exchange| exchange.readiness != Readiness::Removed)
                         .count();
-                    self.record(|_| Recorded::List { serial, exchanges: known as u32 });
+                    self.record(|_| RecordEvent::List { serial, exchanges: known as u32 });
                 }
                 (self.list_confirmed, self.list_serial) = (true, serial);
             }
@@ -454,19 +454,19 @@
             }
             Input::ExchangeActivity { exchange_conn } => self.mark_active(exchange_conn),
             Input::Answered { exchange_conn, call, description } => {
-                self.call_answered(exchange_conn, call, description, effects)
+                self.exchange_answered(exchange_conn, call, description, effects)
             }
             Input::Ended { exchange_conn, call, outcome, reason } => {
-                self.call_ended(exchange_conn, call, outcome, reason, effects);
+                self.exchange_ended_call(exchange_conn, call, outcome, reason, effects);
             }
             Input::GroupState { exchange_conn, report } => self.group_state_received(exchange_conn, report),
             Input::ProbeResult { exchange_conn, passed, report } => {
-                self.probe_answered(exchange_conn, passed, report)
+                self.probe_result_received(exchange_conn, passed, report)
             }
             Input::Reload(config) => self.reload(config, effects),
             Input::Drain if self.successor_serves() => self.stop_for_successor(effects),
             Input::Drain => {
-                self.record(|_| Recorded::Stopping);
+                self.record(|_| RecordEvent::Stopping);
                 self.stopping_since.get_or_insert(self.now);
                 self.set_timer(MIN_STOP_TIME, Timer::CheckStopped);
                 self.set_timer(MAX_STOP_TIME, Timer::CheckStopped);
@@ -603,23 +603,25 @@
         }
     }
 
-    /// Closes the caller connections without an open set-up during a drain.
+    /// Closes the caller connections without an open set-up during a drain; once `DRAIN_KEEP_TIME` is over, also those
+    /// that were used recently.
     fn drain_caller_conns(&mut self, drain_start: SystemTime, effects: &mut Vec<Effect>) {
         if self.draining_since != Some(drain_start) {
             return;
         }
         self.set_timer(DRAIN_CHECK_INTERVAL, Timer::DrainCallers(drain_start));
-        let late = elapsed(drain_start, self.now) >= DRAIN_KEEP_TIME;
-        let in_use =
-            |conn: &CallerConn| late && elapsed(drain_start, conn.last_received) >= DRAIN_LATE_MESSAGE_TIME;
+        let keep_time_over = elapsed(drain_start, self.now) >= DRAIN_KEEP_TIME;
+        let must_abort = |conn: &CallerConn| {
+            keep_time_over && elapsed(drain_start, conn.last_received) >= DRAIN_LATE_MESSAGE_TIME
+        };
         let conns: Vec<(CallerConnId, bool)> =
-            self.caller_conns.iter().map(|(id, conn)| (*id, in_use(conn))).collect();
+            self.caller_conns.iter().map(|(id, conn)| (*id, must_abort(conn))).collect();
         let with_open_setups = self.conns_with_open_setups();
-        let kept = if late { None } else { self.conn_kept_for_releases() };
-        for (caller_conn, in_use) in conns {
+        let kept = if keep_time_over { None } else { self.conn_kept_for_releases() };
+        for (caller_conn, must_abort) in conns {
             if !with_open_setups.contains(&caller_conn) && kept != Some(caller_conn) {
                 self.close_draining_conn(caller_conn, effects);
-            } else if in_use {
+            } else if must_abort {
                 self.abort_caller_conn(caller_conn, effects);
             }
         }
@@ -677,12 +679,13 @@
         }
     }
 
+    /// Ends the process if it was asked to stop and no call, release or caller connection delays that any more.
     fn exit_if_done(&mut self, effects: &mut Vec<Effect>) {
-        let callers = || self.caller_conns.values().any(|conn| conn.front == Front::JsonLines);
+        let has_callers = || self.caller_conns.values().any(|conn| conn.front == Front::JsonLines);
         if self.stopping_for_successor
             && self.calls.is_empty()
             && self.pending_releases.is_empty()
-            && !callers()
+            && !has_callers()
         {
             self.exit(effects);
         }
@@ -701,6 +704,7 @@
 
     // ---- decision module ----
 
+    /// Passes the queued events to the decision module and applies its actions.
     fn run_controller(&mut self, effects: &mut Vec<Effect>) {
         let mut actions = Vec::new();
         while let Some(event) = self.controller_events.pop_front() {
@@ -752,6 +756,7 @@
 
     // ---- calls ----
 
+    /// Handles a set-up: offers the call to the decision module, or rejects it if it is invalid or beyond the limits.
     fn accept_setup(
         &mut self,
         caller_conn: CallerConnId,
@@ -1342,7 +1347,8 @@
         is_there.then_some((id, exchange))
     }
 
-    fn call_answered(
+    /// Handles the answer of an exchange, which establishes the call.
+    fn exchange_answered(
         &mut self,
         exchange_conn: ExchangeConnId,
         uid: CallUid,
@@ -1375,7 +1381,8 @@
         self.exit_if_done(effects);
     }
 
-    fn call_ended(
+    /// Handles the end of an attempt or of an established call, as reported by an exchange.
+    fn exchange_ended_call(
         &mut self,
         exchange_conn: ExchangeConnId,
         uid: CallUid,
