--- a/src/engine/exchanges.rs
+++ b/src/engine/exchanges.rs
@@ -29,7 +29,7 @@
 /// The same limit for an exchange that has never reported the state of its group, where an answer may be the first
 /// message after a set-up.
 const SETUP_SILENCE_LIMIT_WITHOUT_REPORTS: Duration = Duration::from_secs(2);
-/// The same limit for a connection without an open attempt, to an exchange with established calls whose ends would
+/// The same limit, from the last message on, for a connection to an exchange with established calls, whose ends would
 /// be reported on it.
 const ESTABLISHED_SILENCE_LIMIT: Duration = Duration::from_secs(3);
 /// An exchange to which no connection has opened for this long has failed, and its established calls are cut. With
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -336,7 +336,7 @@
         Ok(engine)
     }
 
-    /// When the next timer expires; the caller must pass an input by then.
+    /// When the next timer expires; the host must pass an input at that time, [`Input::Wake`] if there is no other.
     pub fn next_wake(&self) -> Option<SystemTime> {
         self.timers.peek().map(|Reverse((at, ..))| *at)
     }
@@ -663,9 +663,9 @@
         open.map(|call| call.caller_conn).collect()
     }
 
-    /// Closes the connection of a call that was just answered, if a drain or a successor requires it and no other
-    /// set-up is open on it.
-    fn close_answered_conn(&self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
+    /// Closes the connection of a set-up that just got its final answer, if a drain or a successor requires it and no
+    /// other set-up is open on it.
+    fn close_conn_after_answer(&self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
         let kept = match self.draining_since {
             Some(start) => {
                 elapsed(start, self.now) < DRAIN_KEEP_TIME
@@ -782,7 +782,8 @@
             return self.reject_malformed(caller_conn, uid, effects);
         };
         let bytes = setup.description.as_ref().map_or(0, |text| text.len());
-        // During a drain, set-ups of IAX2 are refused one by one: no front in between stops sending them.
+        // During a drain, IAX2 set-ups are refused one by one: endpoints send them directly, without a platform in
+        // between that stops sending after a failed health check.
         let draining = (self.draining_since.is_some() || self.stopping_for_successor) && front == Front::Iax2;
         if draining
             || self.open_setups >= MAX_OPEN_SETUPS
@@ -878,7 +879,7 @@
             self.send_release(call.caller_conn, self.pending_release(call.front, call.uid, message), effects);
         } else if self.caller_conns.contains_key(&call.caller_conn) {
             effects.push(Effect::ToCaller { caller_conn: call.caller_conn, call: call.uid, message });
-            self.close_answered_conn(call.caller_conn, effects);
+            self.close_conn_after_answer(call.caller_conn, effects);
         }
         self.exit_if_done(effects);
     }
@@ -1263,7 +1264,7 @@
         self.close_attempt(id, exchange, sent_at, outcome, Reason::Unspecified);
     }
 
-    /// Marks that a call has no open attempt, without sending a cancel.
+    /// Marks a call as without an open attempt; no cancel is sent.
     fn clear_attempt(&mut self, id: CallId) {
         if let Some(call) = self.calls.get_mut(&id) {
             call.phase = Phase::Waiting;
@@ -1375,7 +1376,7 @@
             call,
             message: CallerMessage::Answered { description },
         });
-        self.close_answered_conn(caller_conn, effects);
+        self.close_conn_after_answer(caller_conn, effects);
         self.record_answer(id, exchange);
         self.controller_events.push_back(Event::Answered { call: id, attempt, exchange, elapsed_ms });
         self.exit_if_done(effects);
