--- a/src/engine/exchanges.rs
+++ b/src/engine/exchanges.rs
@@ -33,7 +33,7 @@
 /// be reported on it.
 const ESTABLISHED_SILENCE_LIMIT: Duration = Duration::from_secs(3);
 /// An exchange to which no connection has opened for this long has failed, and its established calls are cut. With
-/// the time until the loss is noticed, their callers are told well within 8 s.
+/// the time until the loss is noticed, their callers get the release well within 8 s.
 const MAX_UNREACHABLE_TIME: Duration = Duration::from_secs(2);
 /// After a connection that lasted less than this, the next one is opened only after `RECONNECT_DELAY`.
 const MIN_CONN_LIFETIME: Duration = Duration::from_millis(200);
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Notes that a message arrived on a connection.
+    /// Registers that a message arrived on a connection.
     pub(super) fn mark_active(&mut self, exchange_conn: ExchangeConnId) {
         let now = self.now;
         if let Some(conn) = self.exchange_conns.get_mut(&exchange_conn) {
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -8,7 +8,7 @@
 //! - every call gets exactly one final outcome, at most `DECISION_GRACE` after its deadline;
 //! - a call has at most one open attempt;
 //! - after a time-out, reset or cancel a call is not sent again before the release pause is over;
-//! - no set-up is sent to an exchange once the grace period after the notice of its draining or removal is over.
+//! - no set-up is sent to an exchange that has been draining, or removed from the list, for the grace period.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet, VecDeque};
@@ -400,7 +400,7 @@
             }
             Input::SetUp { caller_conn, call, setup } => {
                 self.caller_message_received(caller_conn, effects);
-                self.accept_setup(caller_conn, call, setup, effects);
+                self.handle_setup(caller_conn, call, setup, effects);
             }
             Input::MalformedSetUp { caller_conn, call } => {
                 self.caller_message_received(caller_conn, effects);
@@ -570,7 +570,7 @@
                     && !matches!(call.phase, Phase::Established { .. })
                 {
                     effects.push(Effect::Log(format!(
-                        "no final decision on call {:?} at its deadline; the call is failed",
+                        "no final decision on call {:?} after its deadline; ending it as failed",
                         call.uid
                     )));
                     self.withdraw_attempt(id, effects);
@@ -757,7 +757,7 @@
     // ---- calls ----
 
     /// Handles a set-up: offers the call to the decision module, or rejects it if it is invalid or beyond the limits.
-    fn accept_setup(
+    fn handle_setup(
         &mut self,
         caller_conn: CallerConnId,
         uid: CallUid,
@@ -895,8 +895,8 @@
         if self.ended_call_uids.insert(call.uid) {
             self.ended_calls.push_back((self.now, call.uid));
         }
-        // The decision module may still know the call, for instance when the caller connection was lost. It ignores
-        // the event for a call that it has ended itself.
+        // The decision module still knows the call if it was late with its decision or the caller connection was
+        // lost. It ignores the event for a call that it has ended itself.
         self.controller_events.push_back(Event::Abandoned { call: id });
         Some(call)
     }
@@ -910,10 +910,10 @@
             self.ended_call_uids.remove(&uid);
         }
         let now = self.now;
-        self.sent_releases.retain(|(sent, ..)| elapsed(*sent, now) <= UNREAD_REPORT_WINDOW);
+        self.sent_releases.retain(|(sent_at, ..)| elapsed(*sent_at, now) <= UNREAD_REPORT_WINDOW);
     }
 
-    /// Returns what a set-up without an answer counted towards the limits.
+    /// Stops counting a set-up towards the limits of set-ups without an answer.
     fn setup_closed(&mut self, description: Option<&Arc<str>>) {
         self.open_setups = self.open_setups.saturating_sub(1);
         self.open_description_bytes =
@@ -1044,7 +1044,7 @@
         }
     }
 
-    /// Notes that a message about a call arrived on a caller connection.
+    /// Registers that a message about a call arrived on a caller connection.
     fn caller_message_received(&mut self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
         let now = self.now;
         let Some(conn) = self.caller_conns.get_mut(&caller_conn) else { return };
