--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/report.rs
@@ -57,7 +57,7 @@
         print!("{}", summary(&report, &out));
     }
     // The page is there all the same.
-    match &report.troubles[..] {
+    match &report.file_errors[..] {
         [] => Ok(()),
         [first, rest @ ..] => {
             rest.iter().for_each(|trouble| eprintln!("swiftlbctl: {trouble}"));
@@ -86,7 +86,7 @@
 pub fn write(report: &Report, out: &Path, events: Option<&Path>) -> Result<(), Failure> {
     whole(out, &page::html(report))?;
     if let Some(events) = events {
-        whole(events, &report.events())?;
+        whole(events, &report.events_jsonl())?;
     }
     Ok(())
 }
@@ -121,17 +121,17 @@
 /// The incidents in a few lines.
 pub fn summary(report: &Report, out: &Path) -> String {
     let mut text = String::new();
-    for incident in &report.course.incidents {
+    for incident in &report.analysis.incidents {
         let lasted = incident.end_us.map(|end| end.saturating_sub(incident.begin_us) as f64 / 1e6);
-        let at = (incident.begin_us.saturating_sub(report.span_us.0)) as f64 / 1e6;
+        let at = (incident.begin_us.saturating_sub(report.time_range_us.0)) as f64 / 1e6;
         let node = incident.exchange.map_or(String::new(), |exchange| format!(" node {exchange}"));
         let lasted = lasted.map_or("not over".to_owned(), |lasted| format!("{lasted:.1} s"));
-        let cost = &incident.cost;
-        let lost = cost.cut + cost.lost + cost.given_up;
+        let cost = &incident.affected_calls;
+        let lost = cost.cut + cost.lost + cost.abandoned;
         text +=
-            &format!("{at:8.1} s  {:<20}{node:<8} {lasted:>9}  {lost} calls lost\n", incident.kind.word());
+            &format!("{at:8.1} s  {:<20}{node:<8} {lasted:>9}  {lost} calls lost\n", incident.kind.label());
     }
-    if report.course.incidents.is_empty() {
+    if report.analysis.incidents.is_empty() {
         text += "no incidents\n";
     }
     text + &format!("report: {}\n", out.display())
@@ -140,26 +140,30 @@
 fn summary_json(report: &Report, out: &Path) -> String {
     let number = |n: Option<u64>| n.map_or("null".to_owned(), |n| n.to_string());
     let incidents: Vec<String> = report
-        .course
+        .analysis
         .incidents
         .iter()
         .map(|incident| {
-            let cost = &incident.cost;
+            let cost = &incident.affected_calls;
             format!(
                 "{{\"kind\":\"{}\",\"exchange\":{},\"begin_us\":{},\"end_us\":{},\"flaps\":{},\"cut\":{},\"lost\":{},\
                  \"given_up\":{},\"delayed\":{}}}",
-                incident.kind.word(),
+                incident.kind.label(),
                 number(incident.exchange.map(u64::from)),
                 incident.begin_us,
                 number(incident.end_us),
                 incident.flaps,
                 cost.cut,
                 cost.lost,
-                cost.given_up,
+                cost.abandoned,
                 cost.delayed
             )
         })
         .collect();
     let out = out.display().to_string();
-    format!("{{\"report\":{out:?},\"records\":{},\"incidents\":[{}]}}", report.records, incidents.join(","))
+    format!(
+        "{{\"report\":{out:?},\"records\":{},\"incidents\":[{}]}}",
+        report.record_count,
+        incidents.join(",")
+    )
 }
--- a/crates/report/src/incident/cost.rs
+++ b/crates/report/src/incident/affected_calls.rs
@@ -5,7 +5,7 @@
 use swiftlb_record::{CallUid, Event};
 
 use super::node::Key;
-use super::{Cost, Incident, Kind};
+use super::{AffectedCalls, Incident, IncidentKind};
 
 /// Losses are charged once they are so old: the beginning of an incident is told some seconds after it.
 pub(super) const SETTLED_US: u64 = 30_000_000;
@@ -51,7 +51,7 @@
     /// When, how, and the exchanges that it may have been because of, the last first.
     losses: VecDeque<(u64, Loss, Vec<u32>)>,
     /// What incidents have cost so far, by kind, exchange and beginning.
-    charged: HashMap<(Kind, Option<u32>, u64), Cost>,
+    charged: HashMap<(IncidentKind, Option<u32>, u64), AffectedCalls>,
 }
 
 impl Ledger {
@@ -145,7 +145,7 @@
             match loss {
                 Loss::Cut => cost.cut += 1,
                 Loss::Lost => cost.lost += 1,
-                Loss::GivenUp => cost.given_up += 1,
+                Loss::GivenUp => cost.abandoned += 1,
                 Loss::Delayed => cost.delayed += 1,
             }
         }
@@ -156,7 +156,7 @@
         self.settle(u64::MAX, &incidents.iter().collect::<Vec<_>>());
         for incident in incidents {
             let cost = self.charged.get(&(incident.kind, incident.exchange, incident.begin_us));
-            incident.cost = cost.copied().unwrap_or_default();
+            incident.affected_calls = cost.copied().unwrap_or_default();
         }
     }
 }
--- a/crates/report/src/incident/episode.rs
+++ b/crates/report/src/incident/episode.rs
@@ -3,7 +3,7 @@
 //! A node that dies takes its calls to others: their groups run out, their processors slow down, and softswitches shed.
 //! Told one by one these look like many troubles; told together they are one with its consequences.
 
-use super::{Incident, Kind};
+use super::{Incident, IncidentKind};
 
 /// Incidents that overlap, or lie no further apart, are of one episode.
 const APART_US: u64 = 10_000_000;
@@ -24,24 +24,27 @@
 }
 
 /// How far up a chain of causes a kind stands: 0 comes of nothing else.
-fn depth(kind: Kind) -> u8 {
+fn depth(kind: IncidentKind) -> u8 {
     match kind {
-        Kind::Died | Kind::Replaced | Kind::SoftswitchCrashed | Kind::ListLag => 0,
-        Kind::Stalled => 1,
-        Kind::Slow => 2,
-        Kind::Blocked => 3,
-        Kind::Shed => 4,
+        IncidentKind::NodeDied
+        | IncidentKind::NodeReplaced
+        | IncidentKind::SoftswitchCrashed
+        | IncidentKind::ListLag => 0,
+        IncidentKind::NodeStalled => 1,
+        IncidentKind::NodeSlow => 2,
+        IncidentKind::NoFreeCircuits => 3,
+        IncidentKind::CallsShed => 4,
     }
 }
 
 /// Whether one kind can come of another at all.
 fn can_follow(what: &Incident, of: &Incident) -> bool {
-    if of.kind == Kind::ListLag || depth(what.kind) <= depth(of.kind) {
+    if of.kind == IncidentKind::ListLag || depth(what.kind) <= depth(of.kind) {
         return false;
     }
     // A stall or a slow processor elsewhere needs the calls of a node that is gone.
     match what.kind {
-        Kind::Stalled | Kind::Slow => what.exchange != of.exchange,
+        IncidentKind::NodeStalled | IncidentKind::NodeSlow => what.exchange != of.exchange,
         _ => true,
     }
 }
@@ -59,7 +62,7 @@
         let causes = incidents.iter().enumerate().filter(|(j, of)| *j != i && came_of(of));
         // The same node's own trouble explains more than another's.
         let best = causes.max_by_key(|(j, of)| (of.exchange == what.exchange, of.begin_us, *j));
-        incidents[i].follows = best.map(|(j, _)| j);
+        incidents[i].triggered_by = best.map(|(j, _)| j);
     }
 }
 
@@ -69,7 +72,7 @@
     for (place, incident) in incidents.iter().enumerate() {
         let joins = |episode: &&mut Episode| {
             let near = episode.end_us.is_none_or(|end| incident.begin_us <= end + APART_US);
-            near || incident.follows.is_some_and(|cause| episode.incidents.contains(&cause))
+            near || incident.triggered_by.is_some_and(|cause| episode.incidents.contains(&cause))
         };
         match episodes.last_mut().filter(joins) {
             Some(episode) => {
--- a/crates/report/src/incident/list.rs
+++ b/crates/report/src/incident/list.rs
@@ -4,7 +4,7 @@
 
 use swiftlb_record::ListedReadiness;
 
-use super::{Cost, Incident, Kind};
+use super::{AffectedCalls, Incident, IncidentKind};
 
 /// The list lags once it tells of something so long after it happened: the platform's own delay is a part of that.
 const LATE_US: u64 = 4_000_000;
@@ -97,15 +97,15 @@
             return;
         }
         self.incidents.push(Incident {
-            kind: Kind::ListLag,
+            kind: IncidentKind::ListLag,
             exchange: None,
             softswitch: None,
             begin_us: since,
             end_us: None,
             evidence: format!("node {exchange} was gone for all to see and still listed"),
             flaps: 0,
-            cost: Cost::default(),
-            follows: None,
+            affected_calls: AffectedCalls::default(),
+            triggered_by: None,
         });
     }
 
@@ -128,15 +128,15 @@
         }
         let what = if listing == ListedReadiness::Removed { "was gone" } else { "had started" };
         self.incidents.push(Incident {
-            kind: Kind::ListLag,
+            kind: IncidentKind::ListLag,
             exchange: None,
             softswitch: None,
             begin_us: from,
             end_us: Some(to),
             evidence: format!("that {name} {what} was told {:.1} s later", late as f64 / 1e6),
             flaps: 0,
-            cost: Cost::default(),
-            follows: None,
+            affected_calls: AffectedCalls::default(),
+            triggered_by: None,
         });
     }
 
--- a/crates/report/src/incident/mod.rs
+++ b/crates/report/src/incident/mod.rs
@@ -4,83 +4,83 @@
 //! [`Detector`] is handed the merged story in order and keeps a state machine for each node (`node.rs`), one for the
 //! list (`list.rs`) and a ledger of open calls (`cost.rs`). No I/O, and memory that grows with nodes and open calls.
 
-mod cost;
+mod affected_calls;
 pub mod episode;
 mod list;
 mod node;
-mod service;
+mod refusals;
 
 use std::collections::BTreeMap;
 
 use swiftlb_record::merge::{EntryContent, TimelineEntry};
 use swiftlb_record::{DrainSource, Event};
 
-use cost::Ledger;
+use affected_calls::Ledger;
 use episode::Episode;
 use list::ListWatch;
 use node::NodeWatch;
-use service::{Fared, ServiceWatch};
+use refusals::{Fared, ServiceWatch};
 
 /// What went wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum IncidentKind {
     /// The process of a node was gone: its ways broke and new ones were refused.
-    Died,
+    NodeDied,
     /// It took set-ups and answered none.
-    Stalled,
+    NodeStalled,
     /// It answered far slower than it used to.
-    Slow,
+    NodeSlow,
     /// Another process took its place.
-    Replaced,
+    NodeReplaced,
     /// The list told of a change long after it could be seen.
     ListLag,
     /// A softswitch's records end without its having stopped.
     SoftswitchCrashed,
     /// Calls to a node found no circuit free.
-    Blocked,
+    NoFreeCircuits,
     /// Calls to a node were shed though it had no trouble of its own.
-    Shed,
+    CallsShed,
 }
 
-impl Kind {
+impl IncidentKind {
     /// Its word in timelines.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
-            Self::Died => "node-died",
-            Self::Stalled => "node-stalled",
-            Self::Slow => "node-slow",
-            Self::Replaced => "node-replaced",
+            Self::NodeDied => "node-died",
+            Self::NodeStalled => "node-stalled",
+            Self::NodeSlow => "node-slow",
+            Self::NodeReplaced => "node-replaced",
             Self::ListLag => "list-lag",
             Self::SoftswitchCrashed => "softswitch-crashed",
-            Self::Blocked => "circuits-ran-out",
-            Self::Shed => "calls-shed",
+            Self::NoFreeCircuits => "circuits-ran-out",
+            Self::CallsShed => "calls-shed",
         }
     }
 
     /// The word for its end.
-    pub fn end_word(self) -> &'static str {
+    pub fn end_label(self) -> &'static str {
         match self {
-            Self::Died => "node-returned-cold",
-            Self::Stalled => "node-answers-again",
-            Self::Slow => "node-as-fast-as-before",
-            Self::Replaced => "node-replacement-serves",
+            Self::NodeDied => "node-returned-cold",
+            Self::NodeStalled => "node-answers-again",
+            Self::NodeSlow => "node-as-fast-as-before",
+            Self::NodeReplaced => "node-replacement-serves",
             Self::ListLag => "list-caught-up",
             Self::SoftswitchCrashed => "softswitch-back",
-            Self::Blocked => "circuits-free-again",
-            Self::Shed => "calls-taken-again",
+            Self::NoFreeCircuits => "circuits-free-again",
+            Self::CallsShed => "calls-taken-again",
         }
     }
 }
 
 /// What an incident cost: calls that were lost because of it, each counted once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Cost {
+pub struct AffectedCalls {
     /// Stood and were cut.
     pub cut: u64,
     /// Refused or failed after an attempt there.
     pub lost: u64,
     /// Given up by their callers while an attempt was out there.
-    pub given_up: u64,
+    pub abandoned: u64,
     /// Stood in the end, after an attempt there had come to nothing.
     pub delayed: u64,
 }
@@ -89,7 +89,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Incident {
     /// What.
-    pub kind: Kind,
+    pub kind: IncidentKind,
     /// The node, if it is one's.
     pub exchange: Option<u32>,
     /// The softswitch, if it is one's.
@@ -103,14 +103,14 @@
     /// How often it came back before it was over: a node that flaps is one incident.
     pub flaps: u32,
     /// What it cost.
-    pub cost: Cost,
+    pub affected_calls: AffectedCalls,
     /// Place of the incident that it came of, among all by beginning.
-    pub follows: Option<usize>,
+    pub triggered_by: Option<usize>,
 }
 
 /// A line of the timeline.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct ReportEvent {
     /// Corrected Unix microseconds.
     pub at_us: u64,
     /// The softswitch that it was told by or is about.
@@ -125,13 +125,13 @@
 
 /// What was told of a whole story.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Course {
+pub struct Analysis {
     /// The incidents, by their beginnings.
     pub incidents: Vec<Incident>,
     /// Which of them belong together.
     pub episodes: Vec<Episode>,
     /// All that is worth a line, in order.
-    pub lines: Vec<Line>,
+    pub events: Vec<ReportEvent>,
 }
 
 /// Tells incidents from a merged story.
@@ -142,7 +142,7 @@
     list: ListWatch,
     service: ServiceWatch,
     ledger: Ledger,
-    lines: Vec<Line>,
+    events: Vec<ReportEvent>,
     incidents: Vec<Incident>,
     /// Softswitches whose records have ended without a word, and when.
     ended: BTreeMap<usize, u64>,
@@ -168,7 +168,7 @@
             list: ListWatch::default(),
             service: ServiceWatch::default(),
             ledger: Ledger::new(homes),
-            lines: Vec::new(),
+            events: Vec::new(),
             incidents: Vec::new(),
             ended: BTreeMap::new(),
             running: vec![false; homes.len()],
@@ -179,7 +179,7 @@
     }
 
     /// Takes the next of the story.
-    pub fn see(&mut self, told: &TimelineEntry) {
+    pub fn observe(&mut self, told: &TimelineEntry) {
         self.last_us = self.last_us.max(told.at_us);
         if self.last_us >= self.ticked_us + TICK_US {
             self.ticked_us = self.last_us;
@@ -211,7 +211,7 @@
         exchange: Option<u32>,
         detail: String,
     ) {
-        self.lines.push(Line { at_us, softswitch: who, kind, exchange, detail });
+        self.events.push(ReportEvent { at_us, softswitch: who, kind, exchange, detail });
     }
 
     fn node(&mut self, exchange: u32) -> &mut NodeWatch {
@@ -325,7 +325,7 @@
                 .chain(self.service.incidents())
                 .chain(&self.incidents)
                 .collect();
-            self.ledger.settle(now.saturating_sub(cost::SETTLED_US), &known);
+            self.ledger.settle(now.saturating_sub(affected_calls::SETTLED_US), &known);
         }
     }
 
@@ -333,20 +333,20 @@
     fn crashed(&mut self, who: usize, since: u64, back: Option<u64>) {
         let evidence = "its records end without its having stopped".to_owned();
         self.incidents.push(Incident {
-            kind: Kind::SoftswitchCrashed,
+            kind: IncidentKind::SoftswitchCrashed,
             exchange: self.homes[who],
             softswitch: Some(who),
             begin_us: since,
             end_us: back,
             evidence,
             flaps: 0,
-            cost: Cost::default(),
-            follows: None,
+            affected_calls: AffectedCalls::default(),
+            triggered_by: None,
         });
     }
 
     /// The story is over.
-    pub fn finish(mut self) -> Course {
+    pub fn finish(mut self) -> Analysis {
         self.tick();
         let mut incidents = self.incidents;
         for node in self.nodes.into_values() {
@@ -356,9 +356,9 @@
         incidents.extend(self.service.finish());
         // A softswitch that came back after it was given up for lost.
         for incident in
-            incidents.iter_mut().filter(|i| i.kind == Kind::SoftswitchCrashed && i.end_us.is_none())
+            incidents.iter_mut().filter(|i| i.kind == IncidentKind::SoftswitchCrashed && i.end_us.is_none())
         {
-            let back = self.lines.iter().find(|line| {
+            let back = self.events.iter().find(|line| {
                 line.kind == "softswitch-started"
                     && line.softswitch == incident.softswitch
                     && line.at_us > incident.begin_us
@@ -369,11 +369,11 @@
         incidents.sort_by_key(|incident| (incident.begin_us, incident.kind, incident.exchange));
         episode::link(&mut incidents);
         let episodes = episode::group(&incidents);
-        let mut lines = self.lines;
+        let mut events = self.events;
         for incident in &incidents {
             let (softswitch, exchange) = (incident.softswitch, incident.exchange);
-            let line = |at_us, kind, detail| Line { at_us, softswitch, kind, exchange, detail };
-            lines.push(line(incident.begin_us, incident.kind.word(), incident.evidence.clone()));
+            let line = |at_us, kind, detail| ReportEvent { at_us, softswitch, kind, exchange, detail };
+            events.push(line(incident.begin_us, incident.kind.label(), incident.evidence.clone()));
             if let Some(end) = incident.end_us {
                 let lasted = end.saturating_sub(incident.begin_us) as f64 / 1e6;
                 let flaps = if incident.flaps > 0 {
@@ -381,10 +381,10 @@
                 } else {
                     String::new()
                 };
-                lines.push(line(end, incident.kind.end_word(), format!("after {lasted:.1} s{flaps}")));
+                events.push(line(end, incident.kind.end_label(), format!("after {lasted:.1} s{flaps}")));
             }
         }
-        lines.sort_by_key(|line| line.at_us);
-        Course { incidents, episodes, lines }
+        events.sort_by_key(|line| line.at_us);
+        Analysis { incidents, episodes, events }
     }
 }
--- a/crates/report/src/incident/node.rs
+++ b/crates/report/src/incident/node.rs
@@ -4,7 +4,7 @@
 
 use swiftlb_record::{AttemptOutcome, ConnectionChange, ListedReadiness};
 
-use super::{Cost, Incident, Kind};
+use super::{AffectedCalls, Incident, IncidentKind};
 
 /// A call at the softswitch that made the attempt.
 pub(super) type Key = (usize, u64);
@@ -87,13 +87,13 @@
 
     /// Since when its process is gone, if it is now.
     pub(super) fn dead_since(&self) -> Option<u64> {
-        self.open.as_ref().filter(|open| open.kind == Kind::Died).map(|open| open.begin_us)
+        self.open.as_ref().filter(|open| open.kind == IncidentKind::NodeDied).map(|open| open.begin_us)
     }
 
     /// When its process was last known to go, whether it is back by now or not.
     pub(super) fn last_death(&self) -> Option<u64> {
         let mut all = self.open.iter().chain(self.over.iter().rev());
-        all.find(|incident| incident.kind == Kind::Died).map(|death| death.begin_us)
+        all.find(|incident| incident.kind == IncidentKind::NodeDied).map(|death| death.begin_us)
     }
 
     /// Whether its own state explains that calls to it are turned away: it is in trouble, was until a moment ago, or is
@@ -113,7 +113,7 @@
     }
 
     /// Begins an incident, or goes on with one that had only just ended.
-    fn begin(&mut self, kind: Kind, begin_us: u64, evidence: String) {
+    fn begin(&mut self, kind: IncidentKind, begin_us: u64, evidence: String) {
         if let Some(open) = &self.open {
             // What is worse takes the place of what is less: a node that dies is no longer slow.
             if open.kind <= kind {
@@ -139,8 +139,8 @@
             end_us: None,
             evidence,
             flaps: 0,
-            cost: Cost::default(),
-            follows: None,
+            affected_calls: AffectedCalls::default(),
+            triggered_by: None,
         });
     }
 
@@ -152,7 +152,7 @@
         (self.slow_since, self.fast_since) = (None, None);
     }
 
-    fn is(&self, kind: Kind) -> bool {
+    fn is(&self, kind: IncidentKind) -> bool {
         self.open.as_ref().is_some_and(|open| open.kind == kind)
     }
 
@@ -160,7 +160,7 @@
         match change {
             ConnectionChange::Up => {
                 self.down.remove(&who);
-                if self.is(Kind::Died) {
+                if self.is(IncidentKind::NodeDied) {
                     self.end(at);
                     self.started(at);
                 }
@@ -175,11 +175,11 @@
                 let refused: Vec<u64> = refused.map(|(lost, _)| *lost).collect();
                 // The node's own softswitch has no way to it.
                 let enough = WITNESSES.min(observers.saturating_sub(1)).max(1);
-                if refused.len() >= enough && !self.is(Kind::Died) {
+                if refused.len() >= enough && !self.is(IncidentKind::NodeDied) {
                     let recent = refused.iter().filter(|lost| **lost + TOGETHER_US >= at).min();
                     let begin = recent.copied().unwrap_or(at);
                     let evidence = format!("{} softswitches were refused a way to it", refused.len());
-                    self.begin(Kind::Died, begin, evidence);
+                    self.begin(IncidentKind::NodeDied, begin, evidence);
                 }
             }
         }
@@ -196,7 +196,10 @@
     pub(super) fn listed(&mut self, at: u64, name: &str, listing: ListedReadiness, started_us: u64) {
         // While the list has it no more nobody looks whether it is back; once the list does, it says since when.
         if listing == ListedReadiness::Ready
-            && self.open.as_ref().is_some_and(|open| open.kind == Kind::Died && started_us > open.begin_us)
+            && self
+                .open
+                .as_ref()
+                .is_some_and(|open| open.kind == IncidentKind::NodeDied && started_us > open.begin_us)
         {
             self.end(started_us.min(at));
             self.started(started_us.min(at));
@@ -207,14 +210,16 @@
             }
             ListedReadiness::Ready if !self.name.is_empty() && self.name != name => {
                 let begin = self.draining_since.take().unwrap_or(at);
-                if self.is(Kind::Died) {
+                if self.is(IncidentKind::NodeDied) {
                     self.end(at);
                 }
-                let known =
-                    self.over.iter().any(|i| i.kind == Kind::Replaced && i.begin_us + 1_000_000 > begin);
+                let known = self
+                    .over
+                    .iter()
+                    .any(|i| i.kind == IncidentKind::NodeReplaced && i.begin_us + 1_000_000 > begin);
                 if !known {
                     let evidence = format!("the list has {name} in the place of {}", self.name);
-                    self.begin(Kind::Replaced, begin, evidence);
+                    self.begin(IncidentKind::NodeReplaced, begin, evidence);
                     self.end(at);
                     self.started(at);
                 }
@@ -254,7 +259,7 @@
     /// The node has said something itself.
     fn hear(&mut self, at: u64) {
         self.heard_us = at;
-        if self.is(Kind::Stalled) {
+        if self.is(IncidentKind::NodeStalled) {
             self.end(at);
             self.backlog_until = at + BACKLOG_US;
         }
@@ -274,7 +279,7 @@
         // A way that is down says why nothing comes.
         if unheard.len() >= STALL_OUT && oldest + STALL_US <= now && self.down.is_empty() {
             let evidence = format!("{} set-ups were out there and nothing came back", unheard.len());
-            self.begin(Kind::Stalled, oldest, evidence);
+            self.begin(IncidentKind::NodeStalled, oldest, evidence);
         }
     }
 
@@ -306,12 +311,12 @@
                 let begin = begin.map_or(since, |(at, _)| (*at).min(since));
                 let (took, usual) = (quicker / 1e3, self.usual_us / 1e3);
                 let evidence = format!("its quicker answers took {took:.0} ms in place of {usual:.0} ms");
-                self.begin(Kind::Slow, begin, evidence);
+                self.begin(IncidentKind::NodeSlow, begin, evidence);
                 self.slow_since = Some(since);
             }
         } else {
             self.slow_since = None;
-            if fast && self.is(Kind::Slow) {
+            if fast && self.is(IncidentKind::NodeSlow) {
                 let since = *self.fast_since.get_or_insert(now);
                 if now >= since + SLOW_FOR_US {
                     self.end(since);
--- a/crates/report/src/incident/service.rs
+++ b/crates/report/src/incident/refusals.rs
@@ -8,7 +8,7 @@
 
 use swiftlb_record::{AttemptOutcome, AttemptReason, RefusalReason};
 
-use super::{Cost, Incident, Kind};
+use super::{AffectedCalls, Incident, IncidentKind};
 
 /// Outcomes of this time count; fewer than so many say nothing.
 const RECENT_US: u64 = 5_000_000;
@@ -101,9 +101,10 @@
             let (no_circuit, shed) = (part(Fared::NoCircuit), part(Fared::Shed));
             let explained = explained(*dest);
             let begin = held.recent.front().map_or(now, |(at, _)| *at);
-            for (trouble, kind, part) in
-                [(&mut held.blocked, Kind::Blocked, no_circuit), (&mut held.shed, Kind::Shed, shed)]
-            {
+            for (trouble, kind, part) in [
+                (&mut held.blocked, IncidentKind::NoFreeCircuits, no_circuit),
+                (&mut held.shed, IncidentKind::CallsShed, shed),
+            ] {
                 // Few calls at night end a trouble as well: nobody is turned away.
                 let part = part.unwrap_or(0.0);
                 if let Some(ended) = trouble.step(now, begin, *dest, kind, part, explained) {
@@ -152,7 +153,7 @@
         now: u64,
         begin_us: u64,
         dest: u32,
-        kind: Kind,
+        kind: IncidentKind,
         part: f64,
         explained: bool,
     ) -> Option<Incident> {
@@ -163,7 +164,8 @@
             }
             let since = *self.enters.get_or_insert(now);
             if now >= since + FOR_US {
-                let what = if kind == Kind::Blocked { "found no circuit free" } else { "were shed" };
+                let what =
+                    if kind == IncidentKind::NoFreeCircuits { "found no circuit free" } else { "were shed" };
                 self.open = Some(Incident {
                     kind,
                     exchange: Some(dest),
@@ -173,8 +175,8 @@
                     end_us: None,
                     evidence: format!("{:.0}% of the calls to it {what}", 100.0 * part),
                     flaps: 0,
-                    cost: Cost::default(),
-                    follows: None,
+                    affected_calls: AffectedCalls::default(),
+                    triggered_by: None,
                 });
                 (self.enters, self.leaves) = (None, None);
             }
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -17,7 +17,7 @@
 use swiftlb_record::{Archive, AttemptOutcome, AttemptReason, Event, FailureReason, RefusalReason};
 use tinyjson::JsonValue;
 
-use incident::{Course, Detector};
+use incident::{Analysis, Detector};
 pub use series::{ClassBucket, NodeBucket, Series};
 
 /// Longest set-up time that is told apart, in microseconds.
@@ -67,9 +67,9 @@
     /// Bounds that contradicted others: a clock that was set.
     pub contradictions: u64,
     /// First and last time told, corrected Unix microseconds.
-    pub span_us: (u64, u64),
+    pub time_range_us: (u64, u64),
     /// Records told.
-    pub records: u64,
+    pub record_count: u64,
     /// Figures by class.
     pub classes: Vec<ClassFigures>,
     /// Attempts that ended without an answer, by how and why.
@@ -81,9 +81,9 @@
     /// Calls and nodes over time.
     pub series: Series,
     /// What happened.
-    pub course: Course,
+    pub analysis: Analysis,
     /// Files that could not be used, with the reason.
-    pub troubles: Vec<String>,
+    pub file_errors: Vec<String>,
 }
 
 /// What is known of open calls while the records are read: their class, and whether they are a caller's own.
@@ -158,30 +158,30 @@
             clocks: Vec::new(),
             reference: merge.clock_offsets().reference().map(|place| names[place].clone()),
             contradictions: merge.clock_offsets().contradictions,
-            span_us: (u64::MAX, 0),
-            records: 0,
+            time_range_us: (u64::MAX, 0),
+            record_count: 0,
             classes: Vec::new(),
             attempt_ends: BTreeMap::new(),
             attempts: 0,
             refusals: BTreeMap::new(),
             series: Series::new(),
-            course: Course::default(),
-            troubles: archive.file_errors.iter().map(ToString::to_string).collect(),
+            analysis: Analysis::default(),
+            file_errors: archive.file_errors.iter().map(ToString::to_string).collect(),
             softswitches: names,
         };
         let mut calls = Calls::default();
         // Places of classes by softswitch: each has an order of its own.
         let mut places: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
         for told in merge.by_ref() {
-            detector.see(&told);
+            detector.observe(&told);
             report.see(&told, &mut calls, &mut places);
-            if report.records.is_multiple_of(65_536) {
-                progress(report.records);
+            if report.record_count.is_multiple_of(65_536) {
+                progress(report.record_count);
             }
         }
-        report.course = detector.finish();
-        report.troubles.extend(merge.file_errors().iter().map(ToString::to_string));
-        let middle = report.span_us.0.midpoint(report.span_us.1);
+        report.analysis = detector.finish();
+        report.file_errors.extend(merge.file_errors().iter().map(ToString::to_string));
+        let middle = report.time_range_us.0.midpoint(report.time_range_us.1);
         report.clocks = (0..report.softswitches.len())
             .map(|i| ClockFigures {
                 softswitch: report.softswitches[i].clone(),
@@ -209,8 +209,8 @@
         let (at, who) = (told.at_us, told.softswitch);
         let event = match &told.content {
             EntryContent::Event(event) => {
-                self.records += 1;
-                self.span_us = (self.span_us.0.min(at), self.span_us.1.max(at));
+                self.record_count += 1;
+                self.time_range_us = (self.time_range_us.0.min(at), self.time_range_us.1.max(at));
                 event
             }
             EntryContent::Context(event) => event,
@@ -283,10 +283,10 @@
 
     /// The timeline as JSON lines: `at_us` (corrected), `softswitch` and `exchange` where there are such, `kind`,
     /// `detail`.
-    pub fn events(&self) -> String {
+    pub fn events_jsonl(&self) -> String {
         let quoted = |text: &str| JsonValue::String(text.to_owned()).stringify().unwrap_or_default();
         let mut text = String::new();
-        for line in &self.course.lines {
+        for line in &self.analysis.events {
             let _ = write!(text, "{{\"at_us\":{}", line.at_us);
             if let Some(name) = line.softswitch.and_then(|place| self.softswitches.get(place)) {
                 let _ = write!(text, ",\"softswitch\":{}", quoted(name));
--- a/crates/report/src/page.rs
+++ b/crates/report/src/page.rs
@@ -6,7 +6,7 @@
 use maud::{DOCTYPE, Markup, PreEscaped, html};
 
 use crate::charts::{Band, Curve, chart, colour};
-use crate::incident::{Incident, Kind};
+use crate::incident::{Incident, IncidentKind};
 use crate::{Report, outcome};
 
 const STYLE: &str = "
@@ -48,14 +48,14 @@
 fn title(report: &Report, incident: &Incident) -> String {
     let node = incident.exchange.map_or("a node".to_owned(), |exchange| format!("node {exchange}"));
     match incident.kind {
-        Kind::Died => format!("{node} died"),
-        Kind::Stalled => format!("{node} stalled"),
-        Kind::Slow => format!("{node} was slow"),
-        Kind::Replaced => format!("{node} was replaced"),
-        Kind::ListLag => "the list lagged".to_owned(),
-        Kind::Blocked => format!("circuits to {node} ran out"),
-        Kind::Shed => format!("calls to {node} were shed"),
-        Kind::SoftswitchCrashed => {
+        IncidentKind::NodeDied => format!("{node} died"),
+        IncidentKind::NodeStalled => format!("{node} stalled"),
+        IncidentKind::NodeSlow => format!("{node} was slow"),
+        IncidentKind::NodeReplaced => format!("{node} was replaced"),
+        IncidentKind::ListLag => "the list lagged".to_owned(),
+        IncidentKind::NoFreeCircuits => format!("circuits to {node} ran out"),
+        IncidentKind::CallsShed => format!("calls to {node} were shed"),
+        IncidentKind::SoftswitchCrashed => {
             let name = incident.softswitch.and_then(|place| report.softswitches.get(place));
             format!("softswitch {} crashed", name.map_or("?", String::as_str))
         }
@@ -64,7 +64,7 @@
 
 /// The page.
 pub fn html(report: &Report) -> String {
-    let (first, last) = report.span_us;
+    let (first, last) = report.time_range_us;
     let has_any = last >= first;
     let lasted = if has_any { last - first } else { 0 };
     let sum = |of: fn(&crate::ClassFigures) -> u64| report.classes.iter().map(of).sum::<u64>();
@@ -82,12 +82,12 @@
                 h1 { "Incident report" }
                 @if has_any {
                     p.note { (date(first).format("%Y-%m-%d %H:%M:%S").to_string()) " to " (clock(last)) " UTC, "
-                        (seconds(lasted)) ", " (report.records) " records of " (report.softswitches.len()) " softswitches" }
+                        (seconds(lasted)) ", " (report.record_count) " records of " (report.softswitches.len()) " softswitches" }
                 }
-                @for trouble in &report.troubles { p.warn { "Not read: " (trouble) } }
+                @for trouble in &report.file_errors { p.warn { "Not read: " (trouble) } }
                 dl {
-                    (figure("episodes", &report.course.episodes.len().to_string()))
-                    (figure("incidents", &report.course.incidents.len().to_string()))
+                    (figure("episodes", &report.analysis.episodes.len().to_string()))
+                    (figure("incidents", &report.analysis.incidents.len().to_string()))
                     (figure("calls offered", &offered.to_string()))
                     (figure("stood", &percent(answered, offered)))
                     (figure("refused", &percent(sum(|c| c.refused), offered)))
@@ -120,26 +120,26 @@
 }
 
 fn incidents(report: &Report) -> Markup {
-    if report.course.incidents.is_empty() {
+    if report.analysis.incidents.is_empty() {
         return html! { p { "None that the records tell of." } };
     }
     html! {
         div.wide { table {
             tr { th { "from" } th { "what" } th.n { "lasted" } th.n { "cut" } th.n { "lost" } th.n { "given up" } th.n { "delayed" } th { "told from" } }
-            @for incident in &report.course.incidents {
+            @for incident in &report.analysis.incidents {
                 tr {
                     td.t { (clock(incident.begin_us)) }
                     td { (title(report, incident))
                         @if incident.flaps > 0 { ", and came back " (incident.flaps) " times" }
-                        @if let Some(cause) = incident.follows.and_then(|place| report.course.incidents.get(place)) {
+                        @if let Some(cause) = incident.triggered_by.and_then(|place| report.analysis.incidents.get(place)) {
                             br; span.note { "after " (title(report, cause)) }
                         } }
                     td.n { @match incident.end_us {
                         Some(end) => { (seconds(end.saturating_sub(incident.begin_us))) }
                         None => { "not over" }
                     } }
-                    td.n { (incident.cost.cut) } td.n { (incident.cost.lost) }
-                    td.n { (incident.cost.given_up) } td.n { (incident.cost.delayed) }
+                    td.n { (incident.affected_calls.cut) } td.n { (incident.affected_calls.lost) }
+                    td.n { (incident.affected_calls.abandoned) } td.n { (incident.affected_calls.delayed) }
                     td { (incident.evidence) }
                 }
             }
@@ -171,8 +171,10 @@
 fn bands(report: &Report, of: impl Fn(&Incident) -> bool) -> Vec<Band> {
     let begin = report.series.first_us;
     let at = |us: u64| us.saturating_sub(begin) as f64 / 1e6;
-    let wanted = report.course.incidents.iter().filter(|incident| of(incident));
-    wanted.map(|i| Band { from: at(i.begin_us), to: at(i.end_us.unwrap_or(report.span_us.1)) }).collect()
+    let wanted = report.analysis.incidents.iter().filter(|incident| of(incident));
+    wanted
+        .map(|i| Band { from: at(i.begin_us), to: at(i.end_us.unwrap_or(report.time_range_us.1)) })
+        .collect()
 }
 
 /// A chart with its legend.
@@ -259,7 +261,7 @@
     html! {
         div.wide { table {
             tr { th { "time" } th { "what" } th { "node" } th { "softswitch" } th { "in words" } }
-            @for line in &report.course.lines {
+            @for line in &report.analysis.events {
                 tr class=(tone(line.kind)) {
                     td.t { (clock(line.at_us)) }
                     td { (line.kind) }
--- a/crates/report/tests/service.rs
+++ b/crates/report/tests/detector.rs
@@ -3,7 +3,7 @@
 use swiftlb_record::merge::{EntryContent, TimelineEntry};
 use swiftlb_record::{CallUid, ConnectionChange, Event, Front, ListedReadiness, RefusalReason};
 use swiftlb_report::incident::episode::{group, link};
-use swiftlb_report::incident::{Cost, Course, Detector, Incident, Kind};
+use swiftlb_report::incident::{AffectedCalls, Analysis, Detector, Incident, IncidentKind};
 
 const START: u64 = 1_800_000_000_000_000;
 
@@ -28,7 +28,7 @@
 
     fn tell(&mut self, ms: u64, softswitch: usize, event: Event) {
         let at_us = START + ms * 1_000;
-        self.detector.see(&TimelineEntry {
+        self.detector.observe(&TimelineEntry {
             at_us,
             local_us: at_us,
             softswitch,
@@ -72,12 +72,12 @@
         }
     }
 
-    fn finish(self) -> Course {
+    fn finish(self) -> Analysis {
         self.detector.finish()
     }
 }
 
-fn of(course: &Course, kind: Kind) -> Vec<&Incident> {
+fn of(course: &Analysis, kind: IncidentKind) -> Vec<&Incident> {
     course.incidents.iter().filter(|incident| incident.kind == kind).collect()
 }
 
@@ -91,14 +91,14 @@
     feed.load(0..60, |second| if (20..35).contains(&second) { 50 } else { 0 }, RefusalReason::NoCircuit);
     let course = feed.finish();
     assert_eq!(course.incidents.len(), 1, "{:#?}", course.incidents);
-    let blocked = of(&course, Kind::Blocked)[0];
-    assert_eq!((blocked.exchange, blocked.flaps, blocked.follows), (Some(3), 0, None));
+    let blocked = of(&course, IncidentKind::NoFreeCircuits)[0];
+    assert_eq!((blocked.exchange, blocked.flaps, blocked.triggered_by), (Some(3), 0, None));
     assert!((15.0..23.0).contains(&second(blocked.begin_us)), "{}", second(blocked.begin_us));
     let end = second(blocked.end_us.expect("it ended"));
     assert!((35.0..42.0).contains(&end), "{end}");
-    assert_eq!(blocked.cost.lost, 75, "half of ten a second for fifteen seconds");
+    assert_eq!(blocked.affected_calls.lost, 75, "half of ten a second for fifteen seconds");
     let kinds: Vec<&str> =
-        course.lines.iter().map(|line| line.kind).filter(|kind| kind.contains("circuits")).collect();
+        course.events.iter().map(|line| line.kind).filter(|kind| kind.contains("circuits")).collect();
     assert_eq!(kinds, ["circuits-ran-out", "circuits-free-again"]);
 }
 
@@ -108,7 +108,7 @@
     // 40% and nothing in turns of 6 s: past the level to enter, then under that to leave for long enough.
     feed.load(0..120, |second| if second / 6 % 2 == 1 && second < 100 { 40 } else { 0 }, RefusalReason::Shed);
     let course = feed.finish();
-    let shed = of(&course, Kind::Shed);
+    let shed = of(&course, IncidentKind::CallsShed);
     assert_eq!((shed.len(), course.incidents.len()), (1, 1), "{:#?}", course.incidents);
     assert!(shed[0].flaps > 0 && second(shed[0].end_us.expect("it ended")) > 95.0, "{:#?}", shed[0]);
 }
@@ -144,11 +144,11 @@
     feed.load(30..40, |_| 50, RefusalReason::Shed);
     let course = feed.finish();
     assert_eq!(course.incidents.len(), 1, "{:#?}", course.incidents);
-    assert_eq!((course.incidents[0].kind, course.incidents[0].exchange), (Kind::Died, Some(3)));
+    assert_eq!((course.incidents[0].kind, course.incidents[0].exchange), (IncidentKind::NodeDied, Some(3)));
     assert_eq!(course.episodes.len(), 1);
 }
 
-fn incident(kind: Kind, exchange: u32, from: u64, to: Option<u64>) -> Incident {
+fn incident(kind: IncidentKind, exchange: u32, from: u64, to: Option<u64>) -> Incident {
     Incident {
         kind,
         exchange: Some(exchange),
@@ -157,27 +157,27 @@
         end_us: to.map(|to| START + to * 1_000_000),
         evidence: String::new(),
         flaps: 0,
-        cost: Cost::default(),
-        follows: None,
+        affected_calls: AffectedCalls::default(),
+        triggered_by: None,
     }
 }
 
 #[test]
 fn consequences_follow_their_causes_and_episodes_hold_what_belongs_together() {
     let mut incidents = vec![
-        incident(Kind::Died, 2, 10, Some(20)),
-        incident(Kind::ListLag, 9, 10, Some(25)),
-        incident(Kind::Blocked, 4, 13, Some(24)),
-        incident(Kind::Slow, 5, 15, Some(30)),
-        incident(Kind::Shed, 5, 17, Some(31)),
+        incident(IncidentKind::NodeDied, 2, 10, Some(20)),
+        incident(IncidentKind::ListLag, 9, 10, Some(25)),
+        incident(IncidentKind::NoFreeCircuits, 4, 13, Some(24)),
+        incident(IncidentKind::NodeSlow, 5, 15, Some(30)),
+        incident(IncidentKind::CallsShed, 5, 17, Some(31)),
         // Long after: an episode of its own, and nothing came before it.
-        incident(Kind::Shed, 5, 90, Some(95)),
-        incident(Kind::Died, 1, 200, None),
-        incident(Kind::Slow, 1, 201, Some(202)),
-        incident(Kind::Blocked, 0, 300, Some(301)),
+        incident(IncidentKind::CallsShed, 5, 90, Some(95)),
+        incident(IncidentKind::NodeDied, 1, 200, None),
+        incident(IncidentKind::NodeSlow, 1, 201, Some(202)),
+        incident(IncidentKind::NoFreeCircuits, 0, 300, Some(301)),
     ];
     link(&mut incidents);
-    let follows: Vec<Option<usize>> = incidents.iter().map(|incident| incident.follows).collect();
+    let follows: Vec<Option<usize>> = incidents.iter().map(|incident| incident.triggered_by).collect();
     // A node that is slow for its own death is no consequence elsewhere; its own slowness explains its own shedding.
     assert_eq!(follows, [None, None, Some(0), Some(0), Some(3), None, None, None, Some(6)]);
     let episodes = group(&incidents);
@@ -186,7 +186,7 @@
     assert_eq!((episodes[0].end_us, episodes[2].end_us), (Some(START + 31_000_000), None));
     // Whatever comes, a cause begins no later than its consequence is sure to, and nothing is its own cause.
     for (place, incident) in incidents.iter().enumerate() {
-        if let Some(cause) = incident.follows {
+        if let Some(cause) = incident.triggered_by {
             assert!(cause != place && incidents[cause].begin_us <= incident.begin_us + 1_500_000);
         }
     }
@@ -223,7 +223,7 @@
     feed.tell(30_000, 0, Event::ExchangeConnection { exchange: 3, change: ConnectionChange::Up });
     quiet(&mut feed, 31..60);
     let course = feed.finish();
-    let lag = of(&course, Kind::ListLag);
+    let lag = of(&course, IncidentKind::ListLag);
     assert_eq!((lag.len(), second(lag[0].begin_us)), (1, 20.0), "{:#?}", course.incidents);
     let end = second(lag[0].end_us.expect("it is back"));
     assert!((30.0..32.0).contains(&end), "{end}");
@@ -237,10 +237,10 @@
     listed(&mut feed, 37_000, ListedReadiness::Ready, START + 30_000_000);
     quiet(&mut feed, 38..60);
     let course = feed.finish();
-    let lag = of(&course, Kind::ListLag);
+    let lag = of(&course, IncidentKind::ListLag);
     assert_eq!(lag.len(), 1, "{:#?}", course.incidents);
     assert_eq!((second(lag[0].begin_us), lag[0].end_us.map(second)), (20.0, Some(37.0)));
-    let died = of(&course, Kind::Died);
+    let died = of(&course, IncidentKind::NodeDied);
     assert_eq!(
         (died.len(), died[0].end_us.map(second)),
         (1, Some(30.0)),
@@ -253,5 +253,5 @@
     quiet(&mut feed, 21..23);
     listed(&mut feed, 23_000, ListedReadiness::Removed, 0);
     quiet(&mut feed, 24..60);
-    assert_eq!(of(&feed.finish(), Kind::ListLag).len(), 0);
+    assert_eq!(of(&feed.finish(), IncidentKind::ListLag).len(), 0);
 }
