--- a/src/engine/status.rs
+++ b/src/engine/status.rs
@@ -1,60 +1,61 @@
-//! The reducer as operators see it: what is known of itself and of each exchange, read and never changed.
+//! Status of the softswitch and of the exchanges that it knows, for operators. Nothing here changes the state.
 
 use std::collections::BTreeMap;
 use std::time::UNIX_EPOCH;
 
-use super::{Engine, ExchangeId, Phase, Readiness, Way, duration_from_ms, since};
+use super::{ConnState, Engine, ExchangeId, Phase, Readiness, duration_from_ms, elapsed};
 use crate::ops::{ExchangeState, Fleet};
 
 impl Engine {
-    /// Attempts out and calls that stand, by exchange.
+    /// Number of open attempts and of established calls, by exchange.
     pub(super) fn calls_by_exchange(&self) -> BTreeMap<ExchangeId, (usize, usize)> {
         let mut counts: BTreeMap<ExchangeId, (usize, usize)> = BTreeMap::new();
         for call in self.calls.values() {
             match call.phase {
-                Phase::Out { to, .. } => counts.entry(to).or_default().0 += 1,
-                Phase::Standing { at } => counts.entry(at).or_default().1 += 1,
-                Phase::Open => {}
+                Phase::Attempting { exchange, .. } => counts.entry(exchange).or_default().0 += 1,
+                Phase::Established { exchange } => counts.entry(exchange).or_default().1 += 1,
+                Phase::Waiting => {}
             }
         }
         counts
     }
 
-    /// What this softswitch knows of the fleet now.
+    /// The state of the fleet as this softswitch knows it now.
     pub(super) fn fleet(&self) -> Fleet {
         let counts = self.calls_by_exchange();
-        let stands: usize = counts.values().map(|(_, standing)| standing).sum();
-        let listed = self.peers.iter().filter(|(_, peer)| peer.readiness != Readiness::Removed);
+        let established: usize = counts.values().map(|(_, established_calls)| established_calls).sum();
+        let listed = self.exchanges.iter().filter(|(_, exchange)| exchange.readiness != Readiness::Removed);
         let mut exchanges: Vec<ExchangeState> = listed
-            .map(|(id, peer)| {
-                let own = Some(peer.number) == self.home;
-                let heard = match peer.way {
-                    Way::Up(exchange_conn) => {
-                        self.conns.get(&exchange_conn).map(|held| since(held.heard, self.now))
-                    }
+            .map(|(id, exchange)| {
+                let own = Some(exchange.number) == self.home;
+                let since_heard = match exchange.conn {
+                    ConnState::Up(exchange_conn) => self
+                        .exchange_conns
+                        .get(&exchange_conn)
+                        .map(|conn| elapsed(conn.last_received, self.now)),
                     _ => None,
                 };
-                let (out, standing) = counts.get(id).copied().unwrap_or_default();
+                let (open_attempts, established_calls) = counts.get(id).copied().unwrap_or_default();
                 ExchangeState {
-                    number: peer.number,
-                    name: peer.name.to_string(),
-                    readiness: if peer.readiness == Readiness::Ready { "ready" } else { "draining" },
-                    connection: match peer.way {
+                    number: exchange.number,
+                    name: exchange.name.to_string(),
+                    readiness: if exchange.readiness == Readiness::Ready { "ready" } else { "draining" },
+                    connection: match exchange.conn {
                         _ if own => "own",
-                        Way::Up(_) => "up",
-                        Way::Dialling(_) => "opening",
-                        Way::Down => "down",
+                        ConnState::Up(_) => "up",
+                        ConnState::Connecting(_) => "opening",
+                        ConnState::Down => "down",
                     },
-                    group: peer.group,
-                    since_heard: heard,
+                    group: exchange.group,
+                    since_heard,
                     expected_delay: duration_from_ms(if own {
                         0.0
                     } else {
-                        self.module.expected_delay_ms(*id)
+                        self.controller.expected_delay_ms(*id)
                     }),
-                    open_attempts: out,
-                    established_calls: standing,
-                    avoided: !own && self.module.avoids(*id),
+                    open_attempts,
+                    established_calls,
+                    avoided: !own && self.controller.avoids(*id),
                 }
             })
             .collect();
@@ -62,12 +63,14 @@
         Fleet {
             softswitch: self.name.clone(),
             home: self.home,
-            at_us: since(UNIX_EPOCH, self.now).as_micros() as u64,
-            uptime: since(self.started, self.now),
-            draining: self.emptying.is_some() || self.draining_since.is_some() || self.leaving,
-            calls: (self.calls.len() - stands, stands),
-            totals: self.figures.totals(),
-            refusals: self.figures.refusals(),
+            at_us: elapsed(UNIX_EPOCH, self.now).as_micros() as u64,
+            uptime: elapsed(self.started_at, self.now),
+            draining: self.draining_since.is_some()
+                || self.stopping_since.is_some()
+                || self.stopping_for_successor,
+            calls: (self.calls.len() - established, established),
+            totals: self.metrics.totals(),
+            refusals: self.metrics.refusals(),
             exchanges,
         }
     }
