--- a/src/iax2/mod.rs
+++ b/src/iax2/mod.rs
@@ -1,8 +1,8 @@
-//! The IAX2 front and node side: its configuration and the endpoint that joins legs to calls.
+//! IAX2 toward callers and exchanges: the configuration, and the endpoint that maps IAX2 legs to calls.
 //!
-//! [`Endpoint`] has no socket and no clock either: the driver gives it datagrams, words of the engine and the
-//! time, and takes datagrams and inputs for the engine from it. Calls, deadlines and attempts are the
-//! engine's, exactly as for JSON lines.
+//! [`Endpoint`] does no I/O and reads no clock: the driver passes datagrams, messages of the engine and the
+//! current time to it, and gets back datagrams to send and inputs for the engine. The engine handles calls,
+//! deadlines and attempts in the same way as for JSON lines.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -19,114 +19,129 @@
 pub mod frame;
 pub mod leg;
 
-/// Time between two tries to see whether a node is there.
-const POKE_AGAIN: Duration = Duration::from_millis(150);
-/// A set-up of a call that has ended here is a repeated datagram for this long, not a new call.
-const REMEMBER: Duration = Duration::from_secs(5);
-/// Calls that callers may have open at once; more would cost memory that the platform limits.
-const MOST_CALLERS: usize = 4_096;
-/// Legs of all kinds, those that wait for an acknowledgement of their end included.
-const MOST_LEGS: usize = 3 * MOST_CALLERS;
-/// Highest call number.
-const LAST_NUMBER: u16 = 0x7fff;
-/// Number under which a poke is answered; no call has it.
-const POKE_NUMBER: u16 = 1;
-
-/// What the file of this front says.
+/// Interval between two transmissions of an unanswered POKE.
+const POKE_RETRANSMIT_INTERVAL: Duration = Duration::from_millis(150);
+/// Time after the end of a call during which a NEW with its call number and timestamp counts as a duplicate.
+const DUPLICATE_NEW_WINDOW: Duration = Duration::from_secs(5);
+/// Maximum number of open calls from callers. It bounds the memory, which the platform limits.
+const MAX_CALLER_LEGS: usize = 4_096;
+/// Maximum number of legs toward callers and exchanges, including closing legs.
+const MAX_LEGS: usize = 3 * MAX_CALLER_LEGS;
+/// Call numbers have 15 bits.
+const MAX_CALL_NUMBER: u16 = 0x7fff;
+/// Source call number of the PONG that answers a POKE; reserved, so that no leg has it.
+const POKE_CALL_NUMBER: u16 = 1;
+
+/// Configuration of IAX2 (`iax2.json`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Iax2Config {
-    /// Where it listens, for callers and for what nodes answer.
+    /// Address of the UDP socket that is used for both callers and exchanges.
     pub listen: SocketAddr,
     contexts: Vec<Context>,
-    nodes: Vec<Number>,
+    iax2_exchanges: Vec<Number>,
 }
 
+/// A context (RFC 5456): the numbering plan that a called number is looked up in.
 #[derive(Clone, Debug, PartialEq)]
 struct Context {
     name: String,
     class: String,
-    numbers: Vec<(String, Number)>,
+    exchange_by_prefix: Vec<(String, Number)>,
 }
 
 impl Iax2Config {
-    /// Decodes the file; `None` where the front is off.
+    /// Parses the configuration file; `None` if IAX2 is disabled.
     ///
     /// # Errors
-    /// If it is malformed; the error names the key.
+    /// If the file is malformed. The error names the key.
     pub fn parse(text: &str) -> Result<Option<Self>, ConfigError> {
         let json = parse_json(text).map_err(ConfigError::NotJson)?;
         let top = Node { path: String::new(), value: &json };
         if !top.flag("enabled")? {
             return Ok(None);
         }
-        let number = |node: &Node<'_>| {
+        let exchange_number = |node: &Node<'_>| {
             let number = node.value.get::<f64>().copied().filter(|n| (0.0..=65_535.0).contains(n));
             number.map(|n| n as Number).ok_or_else(|| ConfigError::Key(node.path.clone()))
         };
-        let read_context = |context: &Node<'_>| {
-            let numbers = context.get("numbers")?.items()?;
-            let read = |n: &Node<'_>| Ok((n.text("prefix")?, number(&n.get("exchange")?)?));
+        let parse_context = |context: &Node<'_>| {
+            let prefixes = context.get("numbers")?.items()?;
+            let parse_prefix =
+                |entry: &Node<'_>| Ok((entry.text("prefix")?, exchange_number(&entry.get("exchange")?)?));
             Ok(Context {
                 name: context.text("context")?,
                 class: context.text("class")?,
-                numbers: numbers.iter().map(read).collect::<Result<_, ConfigError>>()?,
+                exchange_by_prefix: prefixes.iter().map(parse_prefix).collect::<Result<_, ConfigError>>()?,
             })
         };
         let contexts = top.get("contexts")?.items()?;
         Ok(Some(Self {
             listen: top.text("listen")?.parse()?,
-            contexts: contexts.iter().map(read_context).collect::<Result<_, ConfigError>>()?,
-            nodes: top.get("nodes")?.items()?.iter().map(number).collect::<Result<_, _>>()?,
+            contexts: contexts.iter().map(parse_context).collect::<Result<_, ConfigError>>()?,
+            iax2_exchanges: top
+                .get("nodes")?
+                .items()?
+                .iter()
+                .map(exchange_number)
+                .collect::<Result<_, _>>()?,
         }))
     }
 
     /// Whether the exchange with this number speaks IAX2.
     pub fn is_iax2_exchange(&self, exchange: Number) -> bool {
-        self.nodes.contains(&exchange)
+        self.iax2_exchanges.contains(&exchange)
     }
 
-    /// Class and exchange of a number called in a context: the longest prefix counts.
+    /// Class and exchange for a called number in a context; the longest matching prefix wins.
     fn route(&self, context: &str, called: &str) -> Option<(&str, Number)> {
         let context = self.contexts.iter().find(|c| c.name == context)?;
-        let fits = context.numbers.iter().filter(|(prefix, _)| called.starts_with(prefix.as_str()));
-        let (_, exchange) = fits.max_by_key(|(prefix, _)| prefix.len())?;
+        let matching =
+            context.exchange_by_prefix.iter().filter(|(prefix, _)| called.starts_with(prefix.as_str()));
+        let (_, exchange) = matching.max_by_key(|(prefix, _)| prefix.len())?;
         Some((context.class.as_str(), *exchange))
     }
 }
 
+/// The party at the remote end of a leg.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     Caller,
-    Node(ExchangeConnId),
+    Exchange(ExchangeConnId),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
+    /// The call is not answered yet.
     Early,
-    Up,
-    /// Its last message is out; it waits for the acknowledgement alone.
+    /// The call is established.
+    Established,
+    /// The final message was sent and awaits its acknowledgement.
     Closing,
 }
 
+/// A leg with the call that it belongs to.
 #[derive(Debug)]
-struct Line {
+struct LegEntry {
     leg: Leg,
+    /// Address of the remote end.
     peer: SocketAddr,
     call: CallUid,
     role: Role,
     state: State,
+    /// Media format, as a bit of RFC 5456, section 8.7.
     format: u32,
 }
 
+/// A POKE that awaits its PONG.
 #[derive(Debug)]
-struct Poke {
+struct PendingPoke {
     exchange_conn: ExchangeConnId,
     address: SocketAddr,
-    next: SystemTime,
-    until: SystemTime,
+    retransmit_at: SystemTime,
+    expires_at: SystemTime,
 }
 
-/// What an endpoint asks for.
+/// Output of an [`Endpoint`].
 #[derive(Debug, Default)]
 pub struct Output {
     /// Datagrams to send.
@@ -135,165 +150,174 @@
     pub inputs: Vec<Input>,
 }
 
-/// All legs of one socket.
+/// The IAX2 legs of one UDP socket.
 #[derive(Debug)]
 pub struct Endpoint {
     config: Iax2Config,
     caller_conn: CallerConnId,
-    names: u64,
-    last_number: u16,
-    lines: BTreeMap<u16, Line>,
-    pokes: BTreeMap<u16, Poke>,
-    nodes: HashMap<ExchangeConnId, SocketAddr>,
-    by_remote: HashMap<(SocketAddr, u16), u16>,
-    callers: HashMap<CallUid, u16>,
-    node_legs: HashMap<(CallUid, ExchangeConnId), u16>,
-    standing: HashMap<CallUid, u16>,
-    /// Callers' numbers whose calls are over, with the time stamp of the set-up.
-    recent: HashMap<(SocketAddr, u16), (u32, SystemTime)>,
+    /// Counter that [`CallUid`]s of incoming calls are derived from.
+    uid_counter: u64,
+    last_call_number: u16,
+    /// Legs by local call number.
+    legs: BTreeMap<u16, LegEntry>,
+    /// POKEs by local call number.
+    pending_pokes: BTreeMap<u16, PendingPoke>,
+    exchange_addresses: HashMap<ExchangeConnId, SocketAddr>,
+    /// Local call number by address and call number of the peer.
+    by_remote_call: HashMap<(SocketAddr, u16), u16>,
+    caller_legs: HashMap<CallUid, u16>,
+    exchange_legs: HashMap<(CallUid, ExchangeConnId), u16>,
+    /// Leg toward the exchange of each established call.
+    established: HashMap<CallUid, u16>,
+    /// NEW frames by address and call number of the caller: timestamp of the frame, and when it is forgotten.
+    recent_new_frames: HashMap<(SocketAddr, u16), (u32, SystemTime)>,
 }
 
 impl Endpoint {
-    /// An endpoint whose calls come on this link; the seed makes their ids.
+    /// Creates an endpoint. The engine sees its callers as `caller_conn`; ids of calls are derived from `seed`.
     pub fn new(config: Iax2Config, caller_conn: CallerConnId, seed: u64) -> Self {
         Self {
             config,
             caller_conn,
-            names: seed,
-            last_number: POKE_NUMBER,
-            lines: BTreeMap::new(),
-            pokes: BTreeMap::new(),
-            nodes: HashMap::new(),
-            by_remote: HashMap::new(),
-            callers: HashMap::new(),
-            node_legs: HashMap::new(),
-            standing: HashMap::new(),
-            recent: HashMap::new(),
+            uid_counter: seed,
+            last_call_number: POKE_CALL_NUMBER,
+            legs: BTreeMap::new(),
+            pending_pokes: BTreeMap::new(),
+            exchange_addresses: HashMap::new(),
+            by_remote_call: HashMap::new(),
+            caller_legs: HashMap::new(),
+            exchange_legs: HashMap::new(),
+            established: HashMap::new(),
+            recent_new_frames: HashMap::new(),
         }
     }
 
-    /// Legs that it holds.
+    /// Number of legs, including closing legs.
     pub fn leg_count(&self) -> usize {
-        self.lines.len()
+        self.legs.len()
     }
 
-    /// Whether every peer has acknowledged all that was sent to it.
+    /// Whether the peers have acknowledged every frame that was sent.
     pub fn all_acknowledged(&self) -> bool {
-        self.lines.values().all(|line| line.leg.all_acknowledged())
+        self.legs.values().all(|entry| entry.leg.all_acknowledged())
     }
 
-    /// When it wants to be woken.
+    /// When [`Self::handle_timeout`] must be called next.
     pub fn next_timeout(&self) -> Option<SystemTime> {
-        let lines =
-            self.lines.values().filter_map(|line| line.leg.next_timeout(line.state == State::Closing));
-        lines.chain(self.pokes.values().map(|poke| poke.next.min(poke.until))).min()
+        let legs =
+            self.legs.values().filter_map(|entry| entry.leg.next_timeout(entry.state == State::Closing));
+        legs.chain(self.pending_pokes.values().map(|poke| poke.retransmit_at.min(poke.expires_at))).min()
     }
 
-    /// Does what is due.
+    /// Handles expired timers: retransmissions, pings, unanswered POKEs and unresponsive peers.
     pub fn handle_timeout(&mut self, now: SystemTime, out: &mut Output) {
-        let due =
-            |line: &Line| line.leg.next_timeout(line.state == State::Closing).is_some_and(|at| at <= now);
-        let numbers: Vec<u16> = self.lines.iter().filter(|(_, line)| due(line)).map(|(n, _)| *n).collect();
-        for number in numbers {
-            let alive = self.on_leg(number, out, |line, sent| {
-                line.leg.handle_timeout(now, line.state == State::Closing, sent)
+        let due = |entry: &LegEntry| {
+            entry.leg.next_timeout(entry.state == State::Closing).is_some_and(|at| at <= now)
+        };
+        let call_numbers: Vec<u16> =
+            self.legs.iter().filter(|(_, entry)| due(entry)).map(|(call_number, _)| *call_number).collect();
+        for call_number in call_numbers {
+            let peer_responds = self.with_leg(call_number, out, |entry, datagrams| {
+                entry.leg.handle_timeout(now, entry.state == State::Closing, datagrams)
             });
-            if alive == Some(false) {
-                self.lost(number, now, out);
+            if peer_responds == Some(false) {
+                self.peer_lost(call_number, now, out);
             }
         }
-        let numbers: Vec<u16> = self.pokes.keys().copied().collect();
-        for number in numbers {
-            let Some(poke) = self.pokes.get_mut(&number) else { continue };
-            if poke.until <= now {
+        let call_numbers: Vec<u16> = self.pending_pokes.keys().copied().collect();
+        for call_number in call_numbers {
+            let Some(poke) = self.pending_pokes.get_mut(&call_number) else { continue };
+            if poke.expires_at <= now {
                 out.inputs
                     .push(Input::ExchangeConnectFailed { exchange_conn: poke.exchange_conn, refused: false });
-                self.pokes.remove(&number);
-            } else if poke.next <= now {
-                poke.next = now + POKE_AGAIN;
-                out.datagrams.push((poke.address, poke_frame(number, true)));
+                self.pending_pokes.remove(&call_number);
+            } else if poke.retransmit_at <= now {
+                poke.retransmit_at = now + POKE_RETRANSMIT_INTERVAL;
+                out.datagrams.push((poke.address, poke_frame(call_number, true)));
             }
         }
-        self.recent.retain(|_, (_, until)| *until > now);
+        self.recent_new_frames.retain(|_, (_, expires_at)| *expires_at > now);
     }
 
-    /// Works on a leg and sends what it wants to have sent.
-    fn on_leg<T>(
+    /// Applies `action` to a leg and sends the datagrams that it produces to the peer.
+    fn with_leg<T>(
         &mut self,
-        number: u16,
+        call_number: u16,
         out: &mut Output,
-        work: impl FnOnce(&mut Line, &mut Vec<Vec<u8>>) -> T,
+        action: impl FnOnce(&mut LegEntry, &mut Vec<Vec<u8>>) -> T,
     ) -> Option<T> {
-        let line = self.lines.get_mut(&number)?;
-        let mut sent = Vec::new();
-        let done = work(line, &mut sent);
-        out.datagrams.extend(sent.into_iter().map(|bytes| (line.peer, bytes)));
-        Some(done)
+        let entry = self.legs.get_mut(&call_number)?;
+        let mut datagrams = Vec::new();
+        let result = action(entry, &mut datagrams);
+        out.datagrams.extend(datagrams.into_iter().map(|bytes| (entry.peer, bytes)));
+        Some(result)
     }
 
-    fn free_number(&mut self) -> Option<u16> {
-        (0..LAST_NUMBER).find_map(|_| {
-            let next = self.last_number % LAST_NUMBER + 1;
-            self.last_number = next.max(POKE_NUMBER + 1);
-            let number = self.last_number;
-            (!self.lines.contains_key(&number) && !self.pokes.contains_key(&number)).then_some(number)
+    fn allocate_call_number(&mut self) -> Option<u16> {
+        (0..MAX_CALL_NUMBER).find_map(|_| {
+            let next = self.last_call_number % MAX_CALL_NUMBER + 1;
+            self.last_call_number = next.max(POKE_CALL_NUMBER + 1);
+            let call_number = self.last_call_number;
+            (!self.legs.contains_key(&call_number) && !self.pending_pokes.contains_key(&call_number))
+                .then_some(call_number)
         })
     }
 
-    /// The one place where a leg is given back.
-    fn remove(&mut self, number: u16, now: SystemTime) -> Option<Line> {
-        let line = self.lines.remove(&number)?;
-        let remote = (line.peer, line.leg.remote_call);
-        if self.by_remote.get(&remote) == Some(&number) {
-            self.by_remote.remove(&remote);
+    /// Removes a leg from all tables. Legs must not be removed in any other way.
+    fn remove_leg(&mut self, call_number: u16, now: SystemTime) -> Option<LegEntry> {
+        let entry = self.legs.remove(&call_number)?;
+        let remote = (entry.peer, entry.leg.remote_call);
+        if self.by_remote_call.get(&remote) == Some(&call_number) {
+            self.by_remote_call.remove(&remote);
         }
-        match line.role {
+        match entry.role {
             Role::Caller => {
-                self.callers.remove(&line.call);
-                if let Some((_, until)) = self.recent.get_mut(&remote) {
-                    *until = now + REMEMBER;
+                self.caller_legs.remove(&entry.call);
+                if let Some((_, expires_at)) = self.recent_new_frames.get_mut(&remote) {
+                    *expires_at = now + DUPLICATE_NEW_WINDOW;
                 }
             }
-            Role::Node(exchange_conn) => {
-                self.node_legs.remove(&(line.call, exchange_conn));
-                if self.standing.get(&line.call) == Some(&number) {
-                    self.standing.remove(&line.call);
+            Role::Exchange(exchange_conn) => {
+                self.exchange_legs.remove(&(entry.call, exchange_conn));
+                if self.established.get(&entry.call) == Some(&call_number) {
+                    self.established.remove(&entry.call);
                 }
             }
         }
-        Some(line)
+        Some(entry)
     }
 
-    /// The far end of a leg is dead or knows the call no more.
-    fn lost(&mut self, number: u16, now: SystemTime, out: &mut Output) {
-        let Some(line) = self.remove(number, now) else { return };
-        if line.state == State::Closing {
+    /// Removes a leg whose peer does not respond or does not know the call, and reports its end to the engine.
+    fn peer_lost(&mut self, call_number: u16, now: SystemTime, out: &mut Output) {
+        let Some(entry) = self.remove_leg(call_number, now) else { return };
+        if entry.state == State::Closing {
             return;
         }
-        out.inputs.push(match line.role {
-            Role::Caller => Input::HangUp { caller_conn: self.caller_conn, call: line.call, cause: 41 },
-            Role::Node(exchange_conn) => {
+        out.inputs.push(match entry.role {
+            Role::Caller => Input::HangUp { caller_conn: self.caller_conn, call: entry.call, cause: 41 },
+            Role::Exchange(exchange_conn) => {
                 let (outcome, reason) = (Outcome::Reset, Reason::Unspecified);
-                Input::Ended { exchange_conn, call: line.call, outcome, reason }
+                Input::Ended { exchange_conn, call: entry.call, outcome, reason }
             }
         });
     }
 
     // ---- datagrams ----
 
-    /// Takes a datagram that came at this time. Whatever it holds, it can only end a call of its sender.
+    /// Handles a datagram that was received at `now`. Whatever it contains, it can end only calls of its sender;
+    /// a datagram that is not a valid frame is ignored.
     pub fn receive(&mut self, now: SystemTime, from: SocketAddr, bytes: &[u8], out: &mut Output) {
         match frame::decode(bytes) {
-            Ok(Frame::Full(frame)) => self.full(now, from, frame, out),
-            Ok(Frame::Mini(mini)) => self.mini(now, from, mini, out),
+            Ok(Frame::Full(frame)) => self.receive_full(now, from, frame, out),
+            Ok(Frame::Mini(frame)) => self.receive_mini(now, from, frame, out),
             Err(_) => {}
         }
     }
 
-    fn full(&mut self, now: SystemTime, from: SocketAddr, frame: FullFrame, out: &mut Output) {
+    fn receive_full(&mut self, now: SystemTime, from: SocketAddr, frame: FullFrame, out: &mut Output) {
         if frame.dest_call == 0 && frame.is_iax(iax::POKE) {
             let pong =
-                FullFrame { source_call: POKE_NUMBER, dest_call: frame.source_call, iseqno: 1, ..frame };
+                FullFrame { source_call: POKE_CALL_NUMBER, dest_call: frame.source_call, iseqno: 1, ..frame };
             let pong = FullFrame {
                 retransmitted: false,
                 oseqno: 0,
@@ -304,10 +328,10 @@
             out.datagrams.push((from, pong.encode()));
             return;
         }
-        if self.pokes.get(&frame.dest_call).is_some_and(|poke| poke.address == from)
+        if self.pending_pokes.get(&frame.dest_call).is_some_and(|poke| poke.address == from)
             && frame.is_iax(iax::PONG)
         {
-            if let Some(poke) = self.pokes.remove(&frame.dest_call) {
+            if let Some(poke) = self.pending_pokes.remove(&frame.dest_call) {
                 let ack = FullFrame {
                     source_call: frame.dest_call,
                     dest_call: frame.source_call,
@@ -317,7 +341,7 @@
                 };
                 let ack = FullFrame { retransmitted: false, subclass: iax::ACK, payload: Vec::new(), ..ack };
                 out.datagrams.push((from, ack.encode()));
-                self.nodes.insert(poke.exchange_conn, poke.address);
+                self.exchange_addresses.insert(poke.exchange_conn, poke.address);
                 out.inputs.push(Input::ExchangeConnected {
                     exchange_conn: poke.exchange_conn,
                     carries_calls: true,
@@ -325,16 +349,21 @@
             }
             return;
         }
-        // A peer that has not heard our number yet is known by its own.
-        let known = self.by_remote.get(&(from, frame.source_call)).copied();
-        let number = if frame.dest_call == 0 { known } else { Some(frame.dest_call) };
-        let fits = |line: &&Line| line.peer == from && [0, frame.source_call].contains(&line.leg.remote_call);
-        let number = number.filter(|n| self.lines.get(n).as_ref().is_some_and(fits));
-        match number {
-            Some(number) => self.on_line(now, number, frame, out),
-            None if frame.dest_call == 0 && frame.is_iax(iax::NEW) => self.set_up(now, from, frame, out),
-            // Neither end may answer a report with a report for ever; and nothing is owed to a late one.
-            None if frame.is_iax(iax::INVAL) || frame.is_iax(iax::ACK) || frame.dest_call == POKE_NUMBER => {}
+        // A peer that does not know the local call number yet is identified by its own call number.
+        let call_number_of_peer = self.by_remote_call.get(&(from, frame.source_call)).copied();
+        let call_number = if frame.dest_call == 0 { call_number_of_peer } else { Some(frame.dest_call) };
+        let belongs =
+            |entry: &&LegEntry| entry.peer == from && [0, frame.source_call].contains(&entry.leg.remote_call);
+        let call_number =
+            call_number.filter(|call_number| self.legs.get(call_number).as_ref().is_some_and(belongs));
+        match call_number {
+            Some(call_number) => self.receive_on_leg(now, call_number, frame, out),
+            None if frame.dest_call == 0 && frame.is_iax(iax::NEW) => self.receive_new(now, from, frame, out),
+            // INVAL and ACK for an unknown call get no reply, or two endpoints could exchange INVALs for ever.
+            // A frame to the call number of POKE replies is the ACK of a PONG or a late frame.
+            None if frame.is_iax(iax::INVAL)
+                || frame.is_iax(iax::ACK)
+                || frame.dest_call == POKE_CALL_NUMBER => {}
             None => {
                 let inval = FullFrame {
                     source_call: frame.dest_call,
@@ -354,59 +383,70 @@
         }
     }
 
-    fn on_line(&mut self, now: SystemTime, number: u16, frame: FullFrame, out: &mut Output) {
+    fn receive_on_leg(&mut self, now: SystemTime, call_number: u16, frame: FullFrame, out: &mut Output) {
         let source = frame.source_call;
-        let heard = self.on_leg(number, out, |line, sent| line.leg.receive(now, frame, sent));
-        let Some(line) = self.lines.get(&number) else { return };
-        if matches!(line.role, Role::Node(_)) && line.leg.remote_call == source {
-            self.by_remote.insert((line.peer, source), number);
+        let received =
+            self.with_leg(call_number, out, |entry, datagrams| entry.leg.receive(now, frame, datagrams));
+        let Some(entry) = self.legs.get(&call_number) else { return };
+        if matches!(entry.role, Role::Exchange(_)) && entry.leg.remote_call == source {
+            self.by_remote_call.insert((entry.peer, source), call_number);
         }
-        match heard {
-            Some(Received::UnknownCall) => self.lost(number, now, out),
-            Some(Received::Frame(frame)) => self.deliver(now, number, frame, out),
+        match received {
+            Some(Received::UnknownCall) => self.peer_lost(call_number, now, out),
+            Some(Received::Frame(frame)) => self.handle_frame(now, call_number, frame, out),
             _ => {}
         }
-        // Whatever frame it was that acknowledged the last message: nothing else would ever wake this leg.
-        let over = |line: &Line| line.state == State::Closing && line.leg.all_acknowledged();
-        if self.lines.get(&number).is_some_and(over) {
-            self.remove(number, now);
+        // Any frame may acknowledge the final message. The leg has no timer after that, so it is removed here.
+        let is_closed = |entry: &LegEntry| entry.state == State::Closing && entry.leg.all_acknowledged();
+        if self.legs.get(&call_number).is_some_and(is_closed) {
+            self.remove_leg(call_number, now);
         }
     }
 
-    /// A set-up from a caller.
-    fn set_up(&mut self, now: SystemTime, from: SocketAddr, frame: FullFrame, out: &mut Output) {
+    /// Handles a NEW from a caller: sets the call up, or rejects it with a cause.
+    fn receive_new(&mut self, now: SystemTime, from: SocketAddr, frame: FullFrame, out: &mut Output) {
         let remote = (from, frame.source_call);
-        if self.recent.get(&remote).is_some_and(|(stamp, until)| *stamp == frame.timestamp && now < *until) {
+        if self
+            .recent_new_frames
+            .get(&remote)
+            .is_some_and(|(timestamp, expires_at)| *timestamp == frame.timestamp && now < *expires_at)
+        {
             return;
         }
-        if self.lines.len() >= MOST_LEGS {
-            // Not even a rejection can be afforded; the caller repeats its set-up.
+        if self.legs.len() >= MAX_LEGS {
+            // A REJECT would need a leg too, so the frame is dropped; the caller retransmits it.
             return;
         }
-        let Some(number) = self.free_number() else { return };
-        self.names = self.names.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let call = CallUid::from_u64(scattered(self.names));
+        let Some(call_number) = self.allocate_call_number() else { return };
+        self.uid_counter = self.uid_counter.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let call = CallUid::from_u64(mix(self.uid_counter));
         let elements = InformationElements::decode(&frame.payload);
-        let full = self.callers.len() >= MOST_CALLERS;
-        let mut leg = Leg::new(number, frame.source_call, now);
-        let mut sent = Vec::new();
-        let stamp = frame.timestamp;
-        let heard = leg.receive(now, frame, &mut sent);
-        out.datagrams.extend(sent.into_iter().map(|bytes| (from, bytes)));
-        if !matches!(heard, Received::Frame(_)) {
+        let at_capacity = self.caller_legs.len() >= MAX_CALLER_LEGS;
+        let mut leg = Leg::new(call_number, frame.source_call, now);
+        let mut datagrams = Vec::new();
+        let timestamp = frame.timestamp;
+        let received = leg.receive(now, frame, &mut datagrams);
+        out.datagrams.extend(datagrams.into_iter().map(|bytes| (from, bytes)));
+        if !matches!(received, Received::Frame(_)) {
             return;
         }
-        let wanted = elements.as_ref().ok().cloned().unwrap_or_default();
-        let line =
-            Line { leg, peer: from, call, role: Role::Caller, state: State::Early, format: chosen(&wanted) };
-        self.lines.insert(number, line);
-        self.by_remote.insert(remote, number);
-        self.recent.insert(remote, (stamp, now + REMEMBER));
-        let called = wanted.called_number.clone().unwrap_or_default();
-        let context = wanted.called_context.as_deref().unwrap_or_default();
+        let requested = elements.as_ref().ok().cloned().unwrap_or_default();
+        let entry = LegEntry {
+            leg,
+            peer: from,
+            call,
+            role: Role::Caller,
+            state: State::Early,
+            format: select_format(&requested),
+        };
+        self.legs.insert(call_number, entry);
+        self.by_remote_call.insert(remote, call_number);
+        self.recent_new_frames.insert(remote, (timestamp, now + DUPLICATE_NEW_WINDOW));
+        let called = requested.called_number.clone().unwrap_or_default();
+        let context = requested.called_context.as_deref().unwrap_or_default();
         let route = self.config.route(context, &called).map(|(class, to)| (class.to_owned(), to));
-        let refusal = match (&elements, route) {
-            _ if full => Err(InformationElements::with_cause(42, "too many calls")),
+        let route = match (&elements, route) {
+            _ if at_capacity => Err(InformationElements::with_cause(42, "too many calls")),
             (Err(_), _) => Err(InformationElements::with_cause(95, "malformed set-up")),
             (Ok(e), _) if e.version != Some(PROTOCOL_VERSION) => {
                 Err(InformationElements::with_cause(111, "version 2 is spoken here"))
@@ -414,11 +454,14 @@
             (_, None) => Err(InformationElements::with_cause(1, "no such number in this context")),
             (_, Some(route)) => Ok(route),
         };
-        match refusal {
-            Err(why) => self.end(number, now, iax::REJECT, &why, out),
+        match route {
+            Err(cause) => self.end_leg(call_number, now, iax::REJECT, &cause, out),
             Ok((class, dest)) => {
-                self.callers.insert(call, number);
-                let description = describe(wanted.capability.unwrap_or(chosen(&wanted)), chosen(&wanted));
+                self.caller_legs.insert(call, call_number);
+                let description = format_description(
+                    requested.capability.unwrap_or(select_format(&requested)),
+                    select_format(&requested),
+                );
                 let setup = SetUp {
                     class,
                     received: now,
@@ -436,27 +479,27 @@
         }
     }
 
-    /// A frame in order on a leg that is known.
-    fn deliver(&mut self, now: SystemTime, number: u16, frame: FullFrame, out: &mut Output) {
-        let Some(line) = self.lines.get_mut(&number) else { return };
-        let (call, role, state) = (line.call, line.role, line.state);
-        let over = frame.is_iax(iax::HANGUP)
+    /// Handles a frame that a leg received in sequence.
+    fn handle_frame(&mut self, now: SystemTime, call_number: u16, frame: FullFrame, out: &mut Output) {
+        let Some(entry) = self.legs.get_mut(&call_number) else { return };
+        let (call, role, state) = (entry.call, entry.role, entry.state);
+        let is_hang_up = frame.is_iax(iax::HANGUP)
             || frame.is_iax(iax::REJECT)
             || (frame.frame_type == FrameType::Control && frame.subclass == control::HANGUP);
-        if over {
-            let why = match frame.frame_type {
+        if is_hang_up {
+            let elements = match frame.frame_type {
                 FrameType::Iax => InformationElements::decode(&frame.payload).unwrap_or_default(),
                 _ => InformationElements::default(),
             };
-            self.remove(number, now);
+            self.remove_leg(call_number, now);
             if state != State::Closing {
-                let (outcome, reason) = outcome_of(&why);
+                let (outcome, reason) = outcome_of(&elements);
                 out.inputs.push(match role {
                     Role::Caller => {
-                        let cause = why.cause_code.unwrap_or(16);
+                        let cause = elements.cause_code.unwrap_or(16);
                         Input::HangUp { caller_conn: self.caller_conn, call, cause }
                     }
-                    Role::Node(exchange_conn) => Input::Ended { exchange_conn, call, outcome, reason },
+                    Role::Exchange(exchange_conn) => Input::Ended { exchange_conn, call, outcome, reason },
                 });
             }
             return;
@@ -464,19 +507,19 @@
         match (frame.frame_type, frame.subclass, role) {
             _ if state == State::Closing => {}
             (FrameType::Voice, ..) => {
-                let voice = line.leg.voice_from_full(frame);
-                self.relay(now, number, voice, out);
+                let voice = entry.leg.voice_from_full(frame);
+                self.relay_voice(now, call_number, voice, out);
             }
-            (FrameType::Iax, iax::ACCEPT, Role::Node(_)) => {
+            (FrameType::Iax, iax::ACCEPT, Role::Exchange(_)) => {
                 if let Some(format) = InformationElements::decode(&frame.payload).ok().and_then(|e| e.format)
                 {
-                    line.format = format;
+                    entry.format = format;
                 }
             }
-            (FrameType::Iax, iax::AUTHREQ, Role::Node(exchange_conn)) => {
-                // No secrets are kept here: a node that asks for one cannot be used.
-                self.end(
-                    number,
+            (FrameType::Iax, iax::AUTHREQ, Role::Exchange(exchange_conn)) => {
+                // The softswitch has no credentials, so it cannot call an exchange that requires authentication.
+                self.end_leg(
+                    call_number,
                     now,
                     iax::HANGUP,
                     &InformationElements::with_cause(21, "no credentials"),
@@ -485,28 +528,28 @@
                 let (outcome, reason) = (Outcome::Busy, Reason::Unspecified);
                 out.inputs.push(Input::Ended { exchange_conn, call, outcome, reason });
             }
-            (FrameType::Control, control::ANSWER, Role::Node(exchange_conn)) if state == State::Early => {
-                line.state = State::Up;
-                let description = Some(describe(line.format, line.format).into());
-                self.standing.insert(call, number);
+            (FrameType::Control, control::ANSWER, Role::Exchange(exchange_conn)) if state == State::Early => {
+                entry.state = State::Established;
+                let description = Some(format_description(entry.format, entry.format).into());
+                self.established.insert(call, call_number);
                 out.inputs.push(Input::Answered { exchange_conn, call, description });
             }
-            (FrameType::Control, control::BUSY | control::CONGESTION, Role::Node(exchange_conn))
+            (FrameType::Control, control::BUSY | control::CONGESTION, Role::Exchange(exchange_conn))
                 if state == State::Early =>
             {
                 let code = if frame.subclass == control::BUSY { 17 } else { 34 };
-                let why = InformationElements::with_cause(code, "");
-                self.end(number, now, iax::HANGUP, &why, out);
-                let (outcome, reason) = outcome_of(&why);
+                let elements = InformationElements::with_cause(code, "");
+                self.end_leg(call_number, now, iax::HANGUP, &elements, out);
+                let (outcome, reason) = outcome_of(&elements);
                 out.inputs.push(Input::Ended { exchange_conn, call, outcome, reason });
             }
-            // Never answered in kind: two ends that do so would go on for ever.
+            // Not answered with UNSUPPORT, or two endpoints could exchange UNSUPPORTs for ever.
             (FrameType::Iax, iax::UNSUPPORT, _) => {}
             (FrameType::Iax, subclass, _) => {
                 let unknown = Some(subclass as u8);
                 let payload = InformationElements { unknown, ..InformationElements::default() }.encode();
-                self.on_leg(number, out, |line, sent| {
-                    line.leg.send(now, FrameType::Iax, iax::UNSUPPORT, payload, sent);
+                self.with_leg(call_number, out, |entry, datagrams| {
+                    entry.leg.send(now, FrameType::Iax, iax::UNSUPPORT, payload, datagrams);
                 });
             }
             (
@@ -518,9 +561,9 @@
                 | FrameType::Video,
                 ..,
             ) => {
-                if let Some(other) = self.other_leg(number) {
-                    self.on_leg(other, out, |line, sent| {
-                        line.leg.send(now, frame.frame_type, frame.subclass, frame.payload, sent);
+                if let Some(other) = self.other_leg(call_number) {
+                    self.with_leg(other, out, |entry, datagrams| {
+                        entry.leg.send(now, frame.frame_type, frame.subclass, frame.payload, datagrams);
                     });
                 }
             }
@@ -530,88 +573,98 @@
 
     // ---- media ----
 
-    /// The other leg of a call that stands, where both are IAX2.
-    fn other_leg(&self, number: u16) -> Option<u16> {
-        let line = self.lines.get(&number).filter(|line| line.state == State::Up)?;
-        let other = match line.role {
-            Role::Caller => self.standing.get(&line.call),
-            Role::Node(_) => self.callers.get(&line.call),
+    /// The other leg of an established call, if both legs are IAX2.
+    fn other_leg(&self, call_number: u16) -> Option<u16> {
+        let entry = self.legs.get(&call_number).filter(|entry| entry.state == State::Established)?;
+        let other = match entry.role {
+            Role::Caller => self.established.get(&entry.call),
+            Role::Exchange(_) => self.caller_legs.get(&entry.call),
         };
-        other.copied().filter(|other| self.lines.get(other).is_some_and(|line| line.state == State::Up))
+        other
+            .copied()
+            .filter(|other| self.legs.get(other).is_some_and(|entry| entry.state == State::Established))
     }
 
-    fn relay(&mut self, now: SystemTime, number: u16, voice: VoiceFrame, out: &mut Output) {
-        if let Some(other) = self.other_leg(number) {
-            self.on_leg(other, out, |line, sent| line.leg.send_voice(now, voice, sent));
+    fn relay_voice(&mut self, now: SystemTime, call_number: u16, voice: VoiceFrame, out: &mut Output) {
+        if let Some(other) = self.other_leg(call_number) {
+            self.with_leg(other, out, |entry, datagrams| entry.leg.send_voice(now, voice, datagrams));
         }
     }
 
-    fn mini(&mut self, now: SystemTime, from: SocketAddr, mini: MiniFrame, out: &mut Output) {
-        let Some(number) = self.by_remote.get(&(from, mini.source_call)).copied() else { return };
-        let voice = self.lines.get_mut(&number).and_then(|line| line.leg.voice_from_mini(mini));
+    fn receive_mini(&mut self, now: SystemTime, from: SocketAddr, frame: MiniFrame, out: &mut Output) {
+        let Some(call_number) = self.by_remote_call.get(&(from, frame.source_call)).copied() else { return };
+        let voice = self.legs.get_mut(&call_number).and_then(|entry| entry.leg.voice_from_mini(frame));
         if let Some(voice) = voice {
-            self.relay(now, number, voice, out);
+            self.relay_voice(now, call_number, voice, out);
         }
     }
 
-    // ---- the engine's words ----
+    // ---- messages from the engine ----
 
-    /// Ends a leg from this side.
-    fn end(
+    /// Sends the final message on a leg, which then only awaits the acknowledgement.
+    fn end_leg(
         &mut self,
-        number: u16,
+        call_number: u16,
         now: SystemTime,
         subclass: u32,
-        why: &InformationElements,
+        elements: &InformationElements,
         out: &mut Output,
     ) {
-        let payload = why.encode();
-        self.on_leg(number, out, |line, sent| {
-            line.state = State::Closing;
-            line.leg.end(now, subclass, payload, sent);
+        let payload = elements.encode();
+        self.with_leg(call_number, out, |entry, datagrams| {
+            entry.state = State::Closing;
+            entry.leg.end(now, subclass, payload, datagrams);
         });
     }
 
-    /// Tells a caller.
-    pub fn send_to_caller(&mut self, now: SystemTime, call: CallUid, word: &CallerMessage, out: &mut Output) {
-        let Some(number) = self.callers.get(&call).copied() else { return };
-        let Some(state) = self.lines.get(&number).map(|line| line.state) else { return };
-        match (word, state) {
+    /// Sends a message to the caller of a call.
+    pub fn send_to_caller(
+        &mut self,
+        now: SystemTime,
+        call: CallUid,
+        message: &CallerMessage,
+        out: &mut Output,
+    ) {
+        let Some(call_number) = self.caller_legs.get(&call).copied() else { return };
+        let Some(state) = self.legs.get(&call_number).map(|entry| entry.state) else { return };
+        match (message, state) {
             (_, State::Closing) | (CallerMessage::HealthCheckResult { .. }, _) => {}
             (CallerMessage::Answered { description }, _) => {
-                self.on_leg(number, out, |line, sent| {
-                    line.state = State::Up;
-                    let format = description.as_deref().and_then(described_format).unwrap_or(line.format);
+                self.with_leg(call_number, out, |entry, datagrams| {
+                    entry.state = State::Established;
+                    let format = description.as_deref().and_then(parse_description).unwrap_or(entry.format);
                     let accept =
                         InformationElements { format: Some(format), ..InformationElements::default() };
-                    line.leg.send(now, FrameType::Iax, iax::ACCEPT, accept.encode(), sent);
-                    line.leg.send(now, FrameType::Control, control::ANSWER, Vec::new(), sent);
+                    entry.leg.send(now, FrameType::Iax, iax::ACCEPT, accept.encode(), datagrams);
+                    entry.leg.send(now, FrameType::Control, control::ANSWER, Vec::new(), datagrams);
                 });
             }
-            (_, State::Up) => self.end(number, now, iax::HANGUP, &cause_elements(word), out),
-            (_, State::Early) => self.end(number, now, iax::REJECT, &cause_elements(word), out),
+            (_, State::Established) => {
+                self.end_leg(call_number, now, iax::HANGUP, &cause_elements(message), out)
+            }
+            (_, State::Early) => self.end_leg(call_number, now, iax::REJECT, &cause_elements(message), out),
         }
     }
 
-    /// Tells a node.
+    /// Sends a message to an exchange.
     pub fn send_to_exchange(
         &mut self,
         now: SystemTime,
         exchange_conn: ExchangeConnId,
         call: CallUid,
-        word: &ExchangeMessage,
+        message: &ExchangeMessage,
         out: &mut Output,
     ) {
-        match word {
+        match message {
             ExchangeMessage::SetUp { class, called_number, description, .. } => {
-                let Some(peer) = self.nodes.get(&exchange_conn).copied() else { return };
-                let Some(number) = self.free_number() else {
-                    // No call number left: it never went out.
+                let Some(peer) = self.exchange_addresses.get(&exchange_conn).copied() else { return };
+                let Some(call_number) = self.allocate_call_number() else {
+                    // All call numbers are in use, so the set-up is not sent.
                     let (outcome, reason) = (Outcome::NotSent, Reason::Unspecified);
                     out.inputs.push(Input::Ended { exchange_conn, call, outcome, reason });
                     return;
                 };
-                let format = description.as_deref().and_then(described_format);
+                let format = description.as_deref().and_then(parse_description);
                 let elements = InformationElements {
                     version: Some(PROTOCOL_VERSION),
                     called_number: called_number.clone(),
@@ -620,28 +673,30 @@
                     format: Some(format.unwrap_or(G711_FORMATS & G711_FORMATS.wrapping_neg())),
                     ..InformationElements::default()
                 };
-                let line = Line {
-                    leg: Leg::new(number, 0, now),
+                let entry = LegEntry {
+                    leg: Leg::new(call_number, 0, now),
                     peer,
                     call,
-                    role: Role::Node(exchange_conn),
+                    role: Role::Exchange(exchange_conn),
                     state: State::Early,
                     format: format.unwrap_or(G711_FORMATS & G711_FORMATS.wrapping_neg()),
                 };
-                self.lines.insert(number, line);
-                self.node_legs.insert((call, exchange_conn), number);
-                self.on_leg(number, out, |line, sent| {
-                    line.leg.send(now, FrameType::Iax, iax::NEW, elements.encode(), sent);
+                self.legs.insert(call_number, entry);
+                self.exchange_legs.insert((call, exchange_conn), call_number);
+                self.with_leg(call_number, out, |entry, datagrams| {
+                    entry.leg.send(now, FrameType::Iax, iax::NEW, elements.encode(), datagrams);
                 });
             }
-            ExchangeMessage::Cancel => self.end_node(now, exchange_conn, call, 16, out),
-            ExchangeMessage::Release { cause } => self.end_node(now, exchange_conn, call, *cause, out),
-            // A node says nothing of its groups; that it answers pokes is all there is to test.
+            ExchangeMessage::Cancel => self.end_exchange_leg(now, exchange_conn, call, 16, out),
+            ExchangeMessage::Release { cause } => {
+                self.end_exchange_leg(now, exchange_conn, call, *cause, out)
+            }
+            // IAX2 has no message that reports free circuits; a POKE at connect time is the only test.
             ExchangeMessage::Probe => {}
         }
     }
 
-    fn end_node(
+    fn end_exchange_leg(
         &mut self,
         now: SystemTime,
         exchange_conn: ExchangeConnId,
@@ -649,46 +704,57 @@
         cause: u8,
         out: &mut Output,
     ) {
-        let Some(number) = self.node_legs.get(&(call, exchange_conn)).copied() else { return };
-        if self.lines.get(&number).is_some_and(|line| line.state != State::Closing) {
-            self.end(number, now, iax::HANGUP, &InformationElements::with_cause(cause, ""), out);
+        let Some(call_number) = self.exchange_legs.get(&(call, exchange_conn)).copied() else { return };
+        if self.legs.get(&call_number).is_some_and(|entry| entry.state != State::Closing) {
+            self.end_leg(call_number, now, iax::HANGUP, &InformationElements::with_cause(cause, ""), out);
         }
     }
 
-    /// Looks whether a node is there.
+    /// Sends a POKE to an exchange. A PONG within `timeout` counts as an established connection.
     pub fn connect_exchange(
         &mut self,
         now: SystemTime,
         exchange_conn: ExchangeConnId,
         address: SocketAddr,
-        limit: Duration,
+        timeout: Duration,
         out: &mut Output,
     ) {
-        let Some(number) = self.free_number() else {
+        let Some(call_number) = self.allocate_call_number() else {
             out.inputs.push(Input::ExchangeConnectFailed { exchange_conn, refused: false });
             return;
         };
-        self.pokes
-            .insert(number, Poke { exchange_conn, address, next: now + POKE_AGAIN, until: now + limit });
-        out.datagrams.push((address, poke_frame(number, false)));
+        self.pending_pokes.insert(
+            call_number,
+            PendingPoke {
+                exchange_conn,
+                address,
+                retransmit_at: now + POKE_RETRANSMIT_INTERVAL,
+                expires_at: now + timeout,
+            },
+        );
+        out.datagrams.push((address, poke_frame(call_number, false)));
     }
 
-    /// A node that is gone: its legs are ended without a word, as nobody is there.
+    /// Removes the legs of an exchange that is unreachable. Nothing is sent to it.
     pub fn close_exchange(&mut self, now: SystemTime, exchange_conn: ExchangeConnId) {
-        self.nodes.remove(&exchange_conn);
-        self.pokes.retain(|_, poke| poke.exchange_conn != exchange_conn);
-        let numbers: Vec<u16> =
-            self.lines.iter().filter(|(_, l)| l.role == Role::Node(exchange_conn)).map(|(n, _)| *n).collect();
-        for number in numbers {
-            self.remove(number, now);
+        self.exchange_addresses.remove(&exchange_conn);
+        self.pending_pokes.retain(|_, poke| poke.exchange_conn != exchange_conn);
+        let call_numbers: Vec<u16> = self
+            .legs
+            .iter()
+            .filter(|(_, entry)| entry.role == Role::Exchange(exchange_conn))
+            .map(|(call_number, _)| *call_number)
+            .collect();
+        for call_number in call_numbers {
+            self.remove_leg(call_number, now);
         }
     }
 }
 
-fn poke_frame(number: u16, retransmitted: bool) -> Vec<u8> {
+fn poke_frame(call_number: u16, retransmitted: bool) -> Vec<u8> {
     let (frame_type, subclass, payload) = (FrameType::Iax, iax::POKE, Vec::new());
     FullFrame {
-        source_call: number,
+        source_call: call_number,
         dest_call: 0,
         retransmitted,
         timestamp: 0,
@@ -701,26 +767,26 @@
     .encode()
 }
 
-/// The format of a leg: the wanted one, else the first that can be taken.
-fn chosen(elements: &InformationElements) -> u32 {
+/// Media format of a leg: the requested format, or else the lowest bit of the capabilities.
+fn select_format(elements: &InformationElements) -> u32 {
     let capability = elements.capability.unwrap_or(G711_FORMATS);
     elements.format.filter(|format| *format != 0).unwrap_or(capability & capability.wrapping_neg())
 }
 
-/// A description of what IAX2 negotiates, for the core to pass on unchanged.
-fn describe(capability: u32, format: u32) -> String {
+/// Session description with the negotiated media formats. The engine passes it on unchanged.
+fn format_description(capability: u32, format: u32) -> String {
     format!("a=iax2-capability:{capability:08x}\r\na=iax2-format:{format:08x}\r\n")
 }
 
-/// The format in a description of ours; `None` in anyone else's.
-fn described_format(description: &str) -> Option<u32> {
-    let line = description.lines().find_map(|line| line.strip_prefix("a=iax2-format:"))?;
-    u32::from_str_radix(line, 16).ok().filter(|format| *format != 0)
+/// Media format in a session description made by [`format_description`]; `None` in any other.
+fn parse_description(description: &str) -> Option<u32> {
+    let format = description.lines().find_map(|line| line.strip_prefix("a=iax2-format:"))?;
+    u32::from_str_radix(format, 16).ok().filter(|format| *format != 0)
 }
 
-/// Spreads consecutive numbers over all ids (the finishing steps of splitmix64).
-fn scattered(number: u64) -> u64 {
-    let mixed = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+/// Maps consecutive values to well-distributed ids (the output function of SplitMix64).
+fn mix(value: u64) -> u64 {
+    let mixed = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     mixed ^ (mixed >> 31)
 }
