--- a/src/iax2/element.rs
+++ b/src/iax2/element.rs
@@ -1,4 +1,4 @@
-//! Information elements (RFC 5456, section 8.6), and what hang-up causes and retry advice mean.
+//! Information elements (RFC 5456, section 8.6), and the mapping of outcomes to causes and retry-after texts.
 
 use std::time::Duration;
 
@@ -13,69 +13,69 @@
 const FORMAT: u8 = 0x09;
 const VERSION: u8 = 0x0b;
 const CAUSE: u8 = 0x16;
-const UNKNOWN: u8 = 0x17;
+const IAX_UNKNOWN: u8 = 0x17;
 const CAUSE_CODE: u8 = 0x2a;
 
-/// The version of the protocol.
+/// Protocol version of IAX2.
 pub const PROTOCOL_VERSION: u16 = 2;
-/// G.711 mu-law and A-law: what is offered where nobody says what is wanted.
+/// Media formats G.711 mu-law and A-law; offered if the other party specifies no format.
 pub const G711_FORMATS: u32 = 0x0c;
 
-/// The elements that mean something here; others are passed over, as the specification asks.
+/// The information elements that are supported. Others are ignored, as RFC 5456 requires.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct InformationElements {
-    /// The number called.
+    /// Called number.
     pub called_number: Option<String>,
-    /// The caller's number.
+    /// Number of the caller.
     pub calling_number: Option<String>,
-    /// The context it is called in.
+    /// Context to look the called number up in.
     pub called_context: Option<String>,
-    /// Media formats that can be taken, a bit each.
+    /// Supported media formats, one bit each.
     pub capability: Option<u32>,
-    /// The one that is wanted or chosen.
+    /// Requested or selected media format.
     pub format: Option<u32>,
-    /// Version of the protocol.
+    /// Protocol version.
     pub version: Option<u16>,
-    /// Why a call ended, in words.
+    /// Cause of the end of a call, as text.
     pub cause: Option<String>,
-    /// The same as a number (Q.850).
+    /// Cause of the end of a call, as a Q.850 code.
     pub cause_code: Option<u8>,
-    /// A message that was not understood.
+    /// Subclass of an unsupported message.
     pub unknown: Option<u8>,
 }
 
 impl InformationElements {
-    /// Reads the payload of a frame of the protocol itself. An element of a wrong length is passed over.
+    /// Decodes the payload of an IAX control frame. An element with an invalid length is ignored.
     ///
     /// # Errors
-    /// If an element runs past the end.
+    /// If an element extends past the end.
     pub fn decode(mut bytes: &[u8]) -> Result<Self, FrameError> {
-        let mut read = Self::default();
+        let mut elements = Self::default();
         while let [id, rest @ ..] = bytes {
             let (length, rest) = rest.split_first().ok_or(FrameError::TruncatedElement(*id))?;
             let (value, rest) =
                 rest.split_at_checked(usize::from(*length)).ok_or(FrameError::TruncatedElement(*id))?;
             bytes = rest;
-            let text = || String::from_utf8(value.to_vec()).ok();
-            let four = || value.try_into().ok().map(u32::from_be_bytes);
-            let one = || value.first().copied().filter(|_| value.len() == 1);
+            let text_value = || String::from_utf8(value.to_vec()).ok();
+            let u32_value = || value.try_into().ok().map(u32::from_be_bytes);
+            let u8_value = || value.first().copied().filter(|_| value.len() == 1);
             match *id {
-                CALLED_NUMBER => read.called_number = text(),
-                CALLING_NUMBER => read.calling_number = text(),
-                CALLED_CONTEXT => read.called_context = text(),
-                CAPABILITY => read.capability = four(),
-                FORMAT => read.format = four(),
-                VERSION => read.version = value.try_into().ok().map(u16::from_be_bytes),
-                CAUSE => read.cause = text(),
-                CAUSE_CODE => read.cause_code = one(),
-                UNKNOWN => read.unknown = one(),
+                CALLED_NUMBER => elements.called_number = text_value(),
+                CALLING_NUMBER => elements.calling_number = text_value(),
+                CALLED_CONTEXT => elements.called_context = text_value(),
+                CAPABILITY => elements.capability = u32_value(),
+                FORMAT => elements.format = u32_value(),
+                VERSION => elements.version = value.try_into().ok().map(u16::from_be_bytes),
+                CAUSE => elements.cause = text_value(),
+                CAUSE_CODE => elements.cause_code = u8_value(),
+                IAX_UNKNOWN => elements.unknown = u8_value(),
                 _ => {}
             }
         }
-        Ok(read)
+        Ok(elements)
     }
 
-    /// Their bytes, the version first, as the specification asks of a set-up.
+    /// Encodes the elements. The version comes first, as RFC 5456 requires for NEW.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
         let mut put = |id: u8, value: Option<&[u8]>| {
@@ -92,28 +92,29 @@
         put(FORMAT, self.format.map(u32::to_be_bytes).as_ref().map(|b| &b[..]));
         put(CAUSE, self.cause.as_deref().map(str::as_bytes));
         put(CAUSE_CODE, self.cause_code.map(|code| [code]).as_ref().map(|b| &b[..]));
-        put(UNKNOWN, self.unknown.map(|code| [code]).as_ref().map(|b| &b[..]));
+        put(IAX_UNKNOWN, self.unknown.map(|code| [code]).as_ref().map(|b| &b[..]));
         bytes
     }
 
-    /// Elements that say why a call ended.
+    /// Elements of a message that ends a call: its Q.850 cause as code and text.
     pub fn with_cause(code: u8, cause: impl Into<String>) -> Self {
         Self { cause_code: Some(code), cause: Some(cause.into()), ..Self::default() }
     }
 }
 
-/// How advice is worded in a CAUSE element, and read again there.
-const ADVICE: &str = "retry after ";
+/// Prefix of a retry-after time in the text of a CAUSE element.
+const RETRY_AFTER_PREFIX: &str = "retry after ";
 
-/// What a caller is told at the end of a call: cause and words.
-pub fn cause_elements(word: &CallerMessage) -> InformationElements {
-    match word {
+/// Cause elements for the message that ends a caller's leg.
+pub fn cause_elements(message: &CallerMessage) -> InformationElements {
+    match message {
         CallerMessage::Refused { retry_after } if retry_after.is_zero() => {
             InformationElements::with_cause(34, "no circuit")
         }
-        CallerMessage::Refused { retry_after } => {
-            InformationElements::with_cause(34, format!("{ADVICE}{:.0} ms", duration_to_ms(*retry_after)))
-        }
+        CallerMessage::Refused { retry_after } => InformationElements::with_cause(
+            34,
+            format!("{RETRY_AFTER_PREFIX}{:.0} ms", duration_to_ms(*retry_after)),
+        ),
         CallerMessage::Failed { busy: true } => InformationElements::with_cause(17, "user busy"),
         CallerMessage::Failed { busy: false } => InformationElements::with_cause(41, "temporary failure"),
         CallerMessage::Released { cut: true } => InformationElements::with_cause(41, "call cut"),
@@ -123,24 +124,25 @@
     }
 }
 
-/// The advice in a CAUSE element.
+/// Parses the retry-after time from the text of a CAUSE element, if there is one.
 pub fn parse_retry_after(cause: &str) -> Option<Duration> {
-    let rest = &cause[cause.find(ADVICE)? + ADVICE.len()..];
+    let rest = &cause[cause.find(RETRY_AFTER_PREFIX)? + RETRY_AFTER_PREFIX.len()..];
     let digits = rest.split(|c: char| !c.is_ascii_digit()).next()?;
     digits.parse().ok().map(Duration::from_millis)
 }
 
-/// What a node means by the end of a call, as on the platform's wire. A node that does not say why ended it
-/// normally.
+/// Outcome and reason when an exchange ends a call with these elements; the Q.850 causes map as in JSON lines.
+/// A missing cause means normal clearing.
 pub fn outcome_of(elements: &InformationElements) -> (Outcome, Reason) {
-    let wait = elements.cause.as_deref().and_then(parse_retry_after);
+    let retry_after = elements.cause.as_deref().and_then(parse_retry_after);
     match elements.cause_code.unwrap_or(16) {
         0 | 16 => (Outcome::Completed, Reason::Unspecified),
         17 => (Outcome::Busy, Reason::UserBusy),
-        34 => {
-            (Outcome::Congested, wait.map_or(Reason::NoCircuit, |w| Reason::ProcessorFull(duration_to_ms(w))))
-        }
-        42 => (Outcome::Congested, Reason::ProcessorFull(duration_to_ms(wait.unwrap_or_default()))),
+        34 => (
+            Outcome::Congested,
+            retry_after.map_or(Reason::NoCircuit, |time| Reason::ProcessorFull(duration_to_ms(time))),
+        ),
+        42 => (Outcome::Congested, Reason::ProcessorFull(duration_to_ms(retry_after.unwrap_or_default()))),
         41 => (Outcome::Reset, Reason::Unspecified),
         102 => (Outcome::NotSent, Reason::Unspecified),
         _ => (Outcome::Busy, Reason::Unspecified),
--- a/src/iax2/frame.rs
+++ b/src/iax2/frame.rs
@@ -1,35 +1,35 @@
-//! Frames of IAX2 (RFC 5456, section 8): bytes to frames and back. Nothing is remembered here.
+//! Stateless encoder and decoder of IAX2 frames (RFC 5456, section 8).
 
 use thiserror::Error;
 
-/// What is wrong with a datagram.
+/// Why a datagram cannot be decoded.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum FrameError {
-    /// It ends before its header does.
+    /// It is shorter than the header of its frame.
     #[error("datagram of {0} bytes is too short")]
     TooShort(usize),
-    /// A meta frame (trunk or video): not spoken here.
-    #[error("meta frames are not spoken here")]
+    /// It is a meta frame (trunk or video).
+    #[error("meta frames are not supported")]
     MetaFrame,
-    /// An information element runs past the end.
-    #[error("information element {0:#04x} runs past the end of the frame")]
+    /// An information element extends past the end of the frame.
+    #[error("information element {0:#04x} extends past the end of the frame")]
     TruncatedElement(u8),
 }
 
-/// Type of a full frame.
+/// Type of a full frame (RFC 5456, section 8.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameType {
-    /// A digit.
+    /// A DTMF digit; the subclass is its character.
     Dtmf,
-    /// Voice; the subclass is its format.
+    /// Voice; the subclass is the media format.
     Voice,
     /// Video.
     Video,
-    /// Call control: [`control`].
+    /// Call control, with the subclasses of [`control`].
     Control,
-    /// Nothing.
+    /// Null frame.
     Null,
-    /// The protocol itself: [`iax`].
+    /// IAX control, with the subclasses of [`iax`].
     Iax,
     /// Text.
     Text,
@@ -39,7 +39,7 @@
     Html,
     /// Comfort noise.
     ComfortNoise,
-    /// Something later than the specification.
+    /// A type that RFC 5456 does not define.
     Other(u8),
 }
 
@@ -79,89 +79,89 @@
 
 /// Subclasses of [`FrameType::Control`].
 pub mod control {
-    /// The call is over.
+    /// The call ends.
     pub const HANGUP: u32 = 0x01;
     /// The called party's line rings.
     pub const RINGING: u32 = 0x03;
-    /// The call stands.
+    /// The call is answered.
     pub const ANSWER: u32 = 0x04;
     /// All lines of the number are busy.
     pub const BUSY: u32 = 0x05;
-    /// No circuit.
+    /// No free circuit.
     pub const CONGESTION: u32 = 0x08;
-    /// Progress is made.
+    /// The call makes progress.
     pub const PROGRESS: u32 = 0x0e;
-    /// The call is being worked on.
+    /// The call is being set up.
     pub const PROCEEDING: u32 = 0x0f;
 }
 
 /// Subclasses of [`FrameType::Iax`].
 pub mod iax {
-    /// A set-up.
+    /// Sets a call up.
     pub const NEW: u32 = 0x01;
-    /// Is the call alive?
+    /// Asks whether the peer responds.
     pub const PING: u32 = 0x02;
-    /// It is.
+    /// Reply to [`PING`] and [`POKE`].
     pub const PONG: u32 = 0x03;
-    /// A frame has come.
+    /// Acknowledges a frame.
     pub const ACK: u32 = 0x04;
-    /// The call is over.
+    /// Ends the call.
     pub const HANGUP: u32 = 0x05;
-    /// The set-up is turned down.
+    /// Rejects the set-up.
     pub const REJECT: u32 = 0x06;
-    /// The set-up is accepted.
+    /// Accepts the set-up.
     pub const ACCEPT: u32 = 0x07;
-    /// Prove who you are.
+    /// Requests authentication.
     pub const AUTHREQ: u32 = 0x08;
-    /// No such call.
+    /// The call is unknown.
     pub const INVAL: u32 = 0x0a;
-    /// How long does a frame take?
+    /// Requests a lag measurement.
     pub const LAGRQ: u32 = 0x0b;
-    /// So long.
+    /// Reply to [`LAGRQ`].
     pub const LAGRP: u32 = 0x0c;
-    /// Frames are missing.
+    /// Asks for the retransmission of missing frames.
     pub const VNAK: u32 = 0x12;
-    /// Is anyone there?
+    /// Asks whether an endpoint responds, outside of any call.
     pub const POKE: u32 = 0x1e;
-    /// Not understood.
+    /// The message is not supported.
     pub const UNSUPPORT: u32 = 0x21;
 }
 
-/// A full frame: delivered in order and once.
+/// A full frame: it is delivered reliably and in sequence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FullFrame {
-    /// The sender's call number.
+    /// Call number of the sender.
     pub source_call: u16,
-    /// The receiver's; 0 if not known yet.
+    /// Call number of the receiver; 0 while it is unknown.
     pub dest_call: u16,
-    /// Sent again.
+    /// The R bit: whether the frame is a retransmission.
     pub retransmitted: bool,
-    /// Milliseconds of the sender's call.
+    /// Time since the sender's leg began, in ms.
     pub timestamp: u32,
-    /// Its sequence number.
+    /// Outbound sequence number: that of this frame.
     pub oseqno: u8,
-    /// The next one that its sender expects.
+    /// Inbound sequence number: the next one that the sender expects.
     pub iseqno: u8,
-    /// Type.
+    /// Frame type.
     pub frame_type: FrameType,
-    /// Subclass.
+    /// Subclass; its meaning depends on the frame type.
     pub subclass: u32,
-    /// All that follows.
+    /// Data after the header.
     pub payload: Vec<u8>,
 }
 
-/// A mini frame: voice in the format last named in a full one, neither repeated nor ordered.
+/// A mini frame: voice in the format of the last full voice frame, without acknowledgement or sequence number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MiniFrame {
-    /// The sender's call number.
+    /// Call number of the sender.
     pub source_call: u16,
-    /// The lower half of the time stamp.
+    /// Lower 16 bits of the timestamp.
     pub timestamp: u16,
-    /// Voice.
+    /// Encoded audio.
     pub payload: Vec<u8>,
 }
 
-/// What a datagram holds.
+/// The frame that a datagram contains.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Frame {
     /// A full frame.
@@ -170,21 +170,22 @@
     Mini(MiniFrame),
 }
 
-/// The highest bit of a 16-bit field: full frame, sent again.
-const FLAG: u16 = 0x8000;
-/// In a subclass byte: the value is two to the power of the rest.
-const POWER: u8 = 0x80;
+/// Highest bit of a 16-bit field: the F bit (full frame) next to the source call number, and the R bit
+/// (retransmission) next to the destination call number.
+const HIGH_BIT: u16 = 0x8000;
+/// The C bit of a subclass byte: the subclass is two to the power of the other bits.
+const POWER_OF_TWO: u8 = 0x80;
 
-/// Reads a datagram.
+/// Decodes a datagram.
 ///
 /// # Errors
-/// If it is no frame that is spoken here.
+/// If the datagram is too short or contains a meta frame.
 pub fn decode(bytes: &[u8]) -> Result<Frame, FrameError> {
-    let short = FrameError::TooShort(bytes.len());
-    let [s0, s1, rest @ ..] = bytes else { return Err(short) };
+    let too_short = FrameError::TooShort(bytes.len());
+    let [s0, s1, rest @ ..] = bytes else { return Err(too_short) };
     let source_call = u16::from_be_bytes([*s0, *s1]);
-    if source_call & FLAG == 0 {
-        let [t0, t1, payload @ ..] = rest else { return Err(short) };
+    if source_call & HIGH_BIT == 0 {
+        let [t0, t1, payload @ ..] = rest else { return Err(too_short) };
         if source_call == 0 {
             return Err(FrameError::MetaFrame);
         }
@@ -192,41 +193,41 @@
         return Ok(Frame::Mini(MiniFrame { source_call, timestamp, payload: payload.to_vec() }));
     }
     let [d0, d1, t0, t1, t2, t3, oseqno, iseqno, frame_type, subclass, payload @ ..] = rest else {
-        return Err(short);
+        return Err(too_short);
     };
     let dest_call = u16::from_be_bytes([*d0, *d1]);
-    let value = u32::from(*subclass & !POWER);
+    let value = u32::from(*subclass & !POWER_OF_TWO);
     Ok(Frame::Full(FullFrame {
-        source_call: source_call & !FLAG,
-        dest_call: dest_call & !FLAG,
-        retransmitted: dest_call & FLAG != 0,
+        source_call: source_call & !HIGH_BIT,
+        dest_call: dest_call & !HIGH_BIT,
+        retransmitted: dest_call & HIGH_BIT != 0,
         timestamp: u32::from_be_bytes([*t0, *t1, *t2, *t3]),
         oseqno: *oseqno,
         iseqno: *iseqno,
         frame_type: FrameType::from_code(*frame_type),
-        subclass: if subclass & POWER == 0 { value } else { 1_u32.checked_shl(value).unwrap_or(0) },
+        subclass: if subclass & POWER_OF_TWO == 0 { value } else { 1_u32.checked_shl(value).unwrap_or(0) },
         payload: payload.to_vec(),
     }))
 }
 
 impl FullFrame {
-    /// Its bytes.
+    /// Encodes the frame as a datagram.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(12 + self.payload.len());
-        bytes.extend((self.source_call | FLAG).to_be_bytes());
-        bytes.extend((self.dest_call | if self.retransmitted { FLAG } else { 0 }).to_be_bytes());
+        bytes.extend((self.source_call | HIGH_BIT).to_be_bytes());
+        bytes.extend((self.dest_call | if self.retransmitted { HIGH_BIT } else { 0 }).to_be_bytes());
         bytes.extend(self.timestamp.to_be_bytes());
         bytes.extend([self.oseqno, self.iseqno, self.frame_type.code(), subclass_byte(self.subclass)]);
         bytes.extend(&self.payload);
         bytes
     }
 
-    /// Whether it takes part in the numbering of frames: those that only report on it do not.
+    /// Whether the frame takes a sequence number. ACK, INVAL and VNAK do not.
     pub fn is_sequenced(&self) -> bool {
         self.frame_type != FrameType::Iax || !matches!(self.subclass, iax::ACK | iax::INVAL | iax::VNAK)
     }
 
-    /// Whether it is this message of the protocol itself.
+    /// Whether this is an IAX control frame with the given subclass.
     pub fn is_iax(&self, subclass: u32) -> bool {
         self.frame_type == FrameType::Iax && self.subclass == subclass
     }
@@ -234,16 +235,16 @@
 
 fn subclass_byte(subclass: u32) -> u8 {
     match u8::try_from(subclass) {
-        Ok(byte) if byte & POWER == 0 => byte,
-        _ => POWER | subclass.trailing_zeros() as u8,
+        Ok(byte) if byte & POWER_OF_TWO == 0 => byte,
+        _ => POWER_OF_TWO | subclass.trailing_zeros() as u8,
     }
 }
 
 impl MiniFrame {
-    /// Its bytes.
+    /// Encodes the frame as a datagram.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(4 + self.payload.len());
-        bytes.extend((self.source_call & !FLAG).to_be_bytes());
+        bytes.extend((self.source_call & !HIGH_BIT).to_be_bytes());
         bytes.extend(self.timestamp.to_be_bytes());
         bytes.extend(&self.payload);
         bytes
--- a/src/iax2/leg.rs
+++ b/src/iax2/leg.rs
@@ -1,73 +1,77 @@
-//! One leg of a call under IAX2 (RFC 5456, section 7): numbering, acknowledgement, repetition and liveness.
+//! One IAX2 leg of a call (RFC 5456, section 7): sequence numbers, acknowledgement, retransmission and pings.
 //!
-//! No sockets and no clock: datagrams and times go in, datagrams come out. What frames mean for the call is
-//! for the endpoint to say.
+//! A leg does no I/O and reads no clock: it gets frames and the current time, and yields datagrams to send. The
+//! endpoint interprets the frames for the call.
 
 use std::collections::VecDeque;
 use std::time::{Duration, SystemTime};
 
 use super::frame::{FrameType, FullFrame, MiniFrame, iax};
 
-/// A frame that is not acknowledged is repeated after this time, then at doubling gaps.
-const REPEAT: Duration = Duration::from_millis(500);
-/// Longest gap between two repetitions. The specification allows 10 s; here a peer that has died must be
-/// noticed within the 8 s in which the end of its calls has to be told.
-const LONGEST_GAP: Duration = Duration::from_secs(2);
-/// A peer that leaves this many repetitions unanswered is taken for dead.
-const REPETITIONS: u32 = 4;
-/// A quiet leg is pinged this often.
-const PING_EVERY: Duration = Duration::from_secs(10);
+/// Delay before the first retransmission of an unacknowledged frame; it doubles with each retransmission.
+const INITIAL_RETRANSMIT_DELAY: Duration = Duration::from_millis(500);
+/// Maximum delay between two retransmissions. RFC 5456 allows 10 s, but the end of a call must be reported
+/// within 8 s of the failure of its peer.
+const MAX_RETRANSMIT_DELAY: Duration = Duration::from_secs(2);
+/// A peer that does not acknowledge a frame after this many retransmissions is considered dead.
+const MAX_RETRANSMISSIONS: u32 = 4;
+/// Time without a frame from the peer after which it is pinged.
+const PING_INTERVAL: Duration = Duration::from_secs(10);
 
+/// A frame that was sent and is not acknowledged yet.
 #[derive(Clone, Debug)]
 struct Unacked {
     frame: FullFrame,
-    next: SystemTime,
-    gap: Duration,
-    repeated: u32,
+    retransmit_at: SystemTime,
+    delay: Duration,
+    retransmissions: u32,
 }
 
-/// What a frame that came means to the endpoint.
+/// What the endpoint has to do about a received frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Received {
-    /// The next frame in order, for the first time.
+    /// Interpret this frame: it is the next in sequence and not a duplicate.
     Frame(FullFrame),
-    /// Nothing: the leg has seen to it.
+    /// Nothing; the leg handled the frame or dropped it.
     Handled,
-    /// The peer knows no such call.
+    /// Remove the leg: the peer does not know the call (INVAL).
     UnknownCall,
 }
 
-/// One voice frame on its way through, stamped in the time of the leg it came on.
+/// A voice frame to be relayed, with its timestamp on the leg that it was received on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoiceFrame {
-    /// Whole time stamp.
+    /// Timestamp in ms, with all 32 bits.
     pub timestamp: u32,
-    /// Format.
+    /// Media format.
     pub format: u32,
-    /// Sound.
+    /// Encoded audio.
     pub payload: Vec<u8>,
 }
 
-/// State of a leg.
+/// An IAX2 leg.
 #[derive(Clone, Debug)]
 pub struct Leg {
-    /// Our number of the call.
+    /// Local call number.
     pub local_call: u16,
-    /// The peer's number; 0 until it has told.
+    /// Call number of the peer; 0 while it is unknown.
     pub remote_call: u16,
     started: SystemTime,
     oseqno: u8,
     iseqno: u8,
     unacked: VecDeque<Unacked>,
     ping_at: SystemTime,
-    last_stamp: u32,
-    voice_in: Option<(u32, u32)>,
-    voice_out: Option<(u32, u32)>,
-    offset: Option<i64>,
+    last_timestamp: u32,
+    /// Highest timestamp and format of the voice received.
+    received_voice: Option<(u32, u32)>,
+    /// Upper half of the timestamp and format of the last full voice frame sent.
+    sent_voice: Option<(u32, u32)>,
+    /// Difference between timestamps on this leg and on the leg that voice is relayed from, in ms.
+    voice_offset: Option<i64>,
 }
 
 impl Leg {
-    /// A leg that begins now.
+    /// Creates a leg that starts at `now`; timestamps count from then. `remote_call` is 0 if it is unknown.
     pub fn new(local_call: u16, remote_call: u16, now: SystemTime) -> Self {
         Self {
             local_call,
@@ -76,21 +80,27 @@
             oseqno: 0,
             iseqno: 0,
             unacked: VecDeque::new(),
-            ping_at: now + PING_EVERY,
-            last_stamp: 0,
-            voice_in: None,
-            voice_out: None,
-            offset: None,
+            ping_at: now + PING_INTERVAL,
+            last_timestamp: 0,
+            received_voice: None,
+            sent_voice: None,
+            voice_offset: None,
         }
     }
 
-    fn stamp(&mut self, now: SystemTime) -> u32 {
+    fn next_timestamp(&mut self, now: SystemTime) -> u32 {
         let elapsed = now.duration_since(self.started).unwrap_or_default().as_millis() as u32;
-        self.last_stamp = elapsed.max(self.last_stamp.wrapping_add(1));
-        self.last_stamp
+        self.last_timestamp = elapsed.max(self.last_timestamp.wrapping_add(1));
+        self.last_timestamp
     }
 
-    fn frame(&self, frame_type: FrameType, subclass: u32, timestamp: u32, payload: Vec<u8>) -> FullFrame {
+    fn build_frame(
+        &self,
+        frame_type: FrameType,
+        subclass: u32,
+        timestamp: u32,
+        payload: Vec<u8>,
+    ) -> FullFrame {
         FullFrame {
             source_call: self.local_call,
             dest_call: self.remote_call,
@@ -104,7 +114,7 @@
         }
     }
 
-    /// Sends a frame that the peer has to acknowledge.
+    /// Sends a frame reliably: it is retransmitted until the peer acknowledges it.
     pub fn send(
         &mut self,
         now: SystemTime,
@@ -113,31 +123,36 @@
         payload: Vec<u8>,
         out: &mut Vec<Vec<u8>>,
     ) {
-        let stamp = self.stamp(now);
-        self.send_stamped(now, frame_type, subclass, stamp, payload, out);
+        let timestamp = self.next_timestamp(now);
+        self.send_with_timestamp(now, frame_type, subclass, timestamp, payload, out);
     }
 
-    fn send_stamped(
+    fn send_with_timestamp(
         &mut self,
         now: SystemTime,
         frame_type: FrameType,
         subclass: u32,
-        stamp: u32,
+        timestamp: u32,
         payload: Vec<u8>,
         out: &mut Vec<Vec<u8>>,
     ) {
-        let frame = self.frame(frame_type, subclass, stamp, payload);
+        let frame = self.build_frame(frame_type, subclass, timestamp, payload);
         self.oseqno = self.oseqno.wrapping_add(1);
         out.push(frame.encode());
-        self.unacked.push_back(Unacked { frame, next: now + REPEAT, gap: REPEAT, repeated: 0 });
+        self.unacked.push_back(Unacked {
+            frame,
+            retransmit_at: now + INITIAL_RETRANSMIT_DELAY,
+            delay: INITIAL_RETRANSMIT_DELAY,
+            retransmissions: 0,
+        });
     }
 
-    /// Reports on a frame of the peer, outside the numbering.
-    fn report(&self, subclass: u32, timestamp: u32, out: &mut Vec<Vec<u8>>) {
-        out.push(self.frame(FrameType::Iax, subclass, timestamp, Vec::new()).encode());
+    /// Sends an ACK or VNAK about a frame of the peer. It takes no sequence number.
+    fn send_unsequenced(&self, subclass: u32, timestamp: u32, out: &mut Vec<Vec<u8>>) {
+        out.push(self.build_frame(FrameType::Iax, subclass, timestamp, Vec::new()).encode());
     }
 
-    /// Takes a full frame that came for this leg.
+    /// Handles a full frame received on this leg.
     pub fn receive(&mut self, now: SystemTime, frame: FullFrame, out: &mut Vec<Vec<u8>>) -> Received {
         if self.remote_call == 0 {
             self.remote_call = frame.source_call;
@@ -145,12 +160,12 @@
         if frame.is_iax(iax::INVAL) {
             return Received::UnknownCall;
         }
-        self.ping_at = now + PING_EVERY;
-        self.acknowledged(frame.iseqno);
+        self.ping_at = now + PING_INTERVAL;
+        self.acknowledge(frame.iseqno);
         if frame.is_iax(iax::VNAK) {
-            for waiting in &mut self.unacked {
-                repeat(waiting, self.remote_call, self.iseqno, out);
-                waiting.next = now + waiting.gap;
+            for pending in &mut self.unacked {
+                retransmit(pending, self.remote_call, self.iseqno, out);
+                pending.retransmit_at = now + pending.delay;
             }
         }
         if !frame.is_sequenced() {
@@ -158,24 +173,24 @@
         }
         match frame.oseqno.wrapping_sub(self.iseqno) {
             0 => self.iseqno = self.iseqno.wrapping_add(1),
-            // One that has come before: its acknowledgement was lost.
+            // A duplicate: the acknowledgement of the first one was lost.
             128.. => {
-                self.report(iax::ACK, frame.timestamp, out);
+                self.send_unsequenced(iax::ACK, frame.timestamp, out);
                 return Received::Handled;
             }
-            // Frames before it are missing.
+            // Earlier frames are missing.
             _ => {
-                self.report(iax::VNAK, frame.timestamp, out);
+                self.send_unsequenced(iax::VNAK, frame.timestamp, out);
                 return Received::Handled;
             }
         }
-        self.report(iax::ACK, frame.timestamp, out);
+        self.send_unsequenced(iax::ACK, frame.timestamp, out);
         match (frame.frame_type, frame.subclass) {
             (FrameType::Iax, iax::PING) => {
-                self.send_stamped(now, FrameType::Iax, iax::PONG, frame.timestamp, Vec::new(), out);
+                self.send_with_timestamp(now, FrameType::Iax, iax::PONG, frame.timestamp, Vec::new(), out);
             }
             (FrameType::Iax, iax::LAGRQ) => {
-                self.send_stamped(now, FrameType::Iax, iax::LAGRP, frame.timestamp, Vec::new(), out);
+                self.send_with_timestamp(now, FrameType::Iax, iax::LAGRP, frame.timestamp, Vec::new(), out);
             }
             (FrameType::Iax, iax::PONG | iax::LAGRP) => {}
             _ => return Received::Frame(frame),
@@ -183,40 +198,40 @@
         Received::Handled
     }
 
-    /// Everything before this number has come.
-    fn acknowledged(&mut self, iseqno: u8) {
+    /// Drops the frames that the peer acknowledged: those before sequence number `iseqno`.
+    fn acknowledge(&mut self, iseqno: u8) {
         let Some(first) = self.unacked.front() else { return };
         let count = usize::from(iseqno.wrapping_sub(first.frame.oseqno));
-        // More than was ever sent is a stray number, as from a frame that was long on its way.
+        // A number outside the window of unacknowledged frames comes from a delayed frame and is ignored.
         if count <= self.unacked.len() {
             self.unacked.drain(..count);
         }
     }
 
-    /// Whether all that was sent has come.
+    /// Whether the peer has acknowledged every frame that was sent.
     pub fn all_acknowledged(&self) -> bool {
         self.unacked.is_empty()
     }
 
-    /// When it wants to be woken. A leg that is closing is not pinged.
+    /// When [`Self::handle_timeout`] must be called next. A closing leg sends no pings.
     pub fn next_timeout(&self, closing: bool) -> Option<SystemTime> {
-        let next = self.unacked.iter().map(|waiting| waiting.next).min();
+        let next = self.unacked.iter().map(|pending| pending.retransmit_at).min();
         if closing { next } else { Some(next.map_or(self.ping_at, |next| next.min(self.ping_at))) }
     }
 
-    /// Repeats what is due and pings a quiet peer. False if the peer is taken for dead.
+    /// Retransmits frames that are due, and pings a silent peer. Returns false if the peer is considered dead.
     pub fn handle_timeout(&mut self, now: SystemTime, closing: bool, out: &mut Vec<Vec<u8>>) -> bool {
-        for waiting in self.unacked.iter_mut().filter(|waiting| waiting.next <= now) {
-            if waiting.repeated >= REPETITIONS {
+        for pending in self.unacked.iter_mut().filter(|pending| pending.retransmit_at <= now) {
+            if pending.retransmissions >= MAX_RETRANSMISSIONS {
                 return false;
             }
-            waiting.repeated += 1;
-            waiting.gap = (waiting.gap * 2).min(LONGEST_GAP);
-            waiting.next = now + waiting.gap;
-            repeat(waiting, self.remote_call, self.iseqno, out);
+            pending.retransmissions += 1;
+            pending.delay = (pending.delay * 2).min(MAX_RETRANSMIT_DELAY);
+            pending.retransmit_at = now + pending.delay;
+            retransmit(pending, self.remote_call, self.iseqno, out);
         }
         if !closing && self.ping_at <= now {
-            self.ping_at = now + PING_EVERY;
+            self.ping_at = now + PING_INTERVAL;
             if self.unacked.is_empty() {
                 self.send(now, FrameType::Iax, iax::PING, Vec::new(), out);
             }
@@ -224,48 +239,54 @@
         true
     }
 
-    /// Ends the leg with this message. A set-up that was never acknowledged is not repeated any more: it could
-    /// reach the peer after it was given up, while the next attempt is already out.
+    /// Ends the leg with this message. An unacknowledged NEW is not retransmitted any more: it could reach the
+    /// peer after the attempt was cancelled, when the next attempt has already been sent.
     pub fn end(&mut self, now: SystemTime, subclass: u32, payload: Vec<u8>, out: &mut Vec<Vec<u8>>) {
-        self.unacked.retain(|waiting| !waiting.frame.is_iax(iax::NEW));
+        self.unacked.retain(|pending| !pending.frame.is_iax(iax::NEW));
         self.send(now, FrameType::Iax, subclass, payload, out);
     }
 
-    /// Voice from a full frame.
+    /// Extracts the voice of a full frame.
     pub fn voice_from_full(&mut self, frame: FullFrame) -> VoiceFrame {
-        self.voice_in = Some((frame.timestamp, frame.subclass));
+        self.received_voice = Some((frame.timestamp, frame.subclass));
         VoiceFrame { timestamp: frame.timestamp, format: frame.subclass, payload: frame.payload }
     }
 
-    /// Voice from a mini frame, which has half a time stamp and no format; `None` before any full one.
+    /// Extracts the voice of a mini frame. Its format and the upper half of its timestamp are those of the last
+    /// full voice frame; `None` if there was none.
     pub fn voice_from_mini(&mut self, mini: MiniFrame) -> Option<VoiceFrame> {
-        let (last, format) = self.voice_in?;
-        // The nearest time stamp with this lower half.
+        let (last, format) = self.received_voice?;
+        // The timestamp nearest to the last one that has this lower half.
         let step = mini.timestamp.wrapping_sub(last as u16) as i16;
-        let stamp = last.wrapping_add_signed(i32::from(step));
-        self.voice_in = Some((stamp.max(last), format));
-        Some(VoiceFrame { timestamp: stamp, format, payload: mini.payload })
+        let timestamp = last.wrapping_add_signed(i32::from(step));
+        self.received_voice = Some((timestamp.max(last), format));
+        Some(VoiceFrame { timestamp, format, payload: mini.payload })
     }
 
-    /// Passes voice from the other leg on, in a mini frame wherever the peer can complete it.
+    /// Relays voice from the other leg. A full frame is sent only if the format or the upper half of the
+    /// timestamp changed; the peer takes both from the last full frame when it receives a mini frame.
     pub fn send_voice(&mut self, now: SystemTime, voice: VoiceFrame, out: &mut Vec<Vec<u8>>) {
         let elapsed = now.duration_since(self.started).unwrap_or_default().as_millis() as i64;
-        let offset = *self.offset.get_or_insert(elapsed - i64::from(voice.timestamp));
-        let stamp = (i64::from(voice.timestamp) + offset).max(0) as u32;
-        if self.voice_out == Some((stamp >> 16, voice.format)) {
+        let voice_offset = *self.voice_offset.get_or_insert(elapsed - i64::from(voice.timestamp));
+        let timestamp = (i64::from(voice.timestamp) + voice_offset).max(0) as u32;
+        if self.sent_voice == Some((timestamp >> 16, voice.format)) {
             out.push(
-                MiniFrame { source_call: self.local_call, timestamp: stamp as u16, payload: voice.payload }
-                    .encode(),
+                MiniFrame {
+                    source_call: self.local_call,
+                    timestamp: timestamp as u16,
+                    payload: voice.payload,
+                }
+                .encode(),
             );
         } else {
-            self.voice_out = Some((stamp >> 16, voice.format));
-            self.send_stamped(now, FrameType::Voice, voice.format, stamp, voice.payload, out);
+            self.sent_voice = Some((timestamp >> 16, voice.format));
+            self.send_with_timestamp(now, FrameType::Voice, voice.format, timestamp, voice.payload, out);
         }
     }
 }
 
-fn repeat(waiting: &mut Unacked, remote_call: u16, iseqno: u8, out: &mut Vec<Vec<u8>>) {
-    let frame = &mut waiting.frame;
+fn retransmit(pending: &mut Unacked, remote_call: u16, iseqno: u8, out: &mut Vec<Vec<u8>>) {
+    let frame = &mut pending.frame;
     (frame.retransmitted, frame.dest_call, frame.iseqno) = (true, remote_call, iseqno);
     out.push(frame.encode());
 }
--- a/src/iax2/mod.rs
+++ b/src/iax2/mod.rs
@@ -304,8 +304,8 @@
 
     // ---- datagrams ----
 
-    /// Handles a datagram that was received at `now`. Whatever it contains, it can end only calls of its sender;
-    /// a datagram that is not a valid frame is ignored.
+    /// Handles a datagram that was received at `now`. Whatever it contains, it can end only calls of its
+    /// sender. A datagram that is not a valid frame is ignored.
     pub fn receive(&mut self, now: SystemTime, from: SocketAddr, bytes: &[u8], out: &mut Output) {
         match frame::decode(bytes) {
             Ok(Frame::Full(frame)) => self.receive_full(now, from, frame, out),
@@ -517,7 +517,7 @@
                 }
             }
             (FrameType::Iax, iax::AUTHREQ, Role::Exchange(exchange_conn)) => {
-                // The softswitch has no credentials, so it cannot call an exchange that requires authentication.
+                // The softswitch has no credentials and cannot call an exchange that requires them.
                 self.end_leg(
                     call_number,
                     now,
--- a/src/load/clf.rs
+++ b/src/load/clf.rs
@@ -1,30 +1,30 @@
-//! Access logs in the Common and Combined formats: one call for each line.
+//! Parser of access logs in the Common and the Combined Log Format. Each line becomes one call.
 
 use chrono::DateTime;
 
 use super::{RecordedCall, RecordedLoad, path_of};
 
-/// Reads an access log. Lines that are neither empty nor in one of the formats are counted as skipped.
+/// Parses an access log. Lines that are neither empty nor in one of the formats are counted as skipped.
 pub fn parse(text: &str) -> RecordedLoad {
-    let mut load = RecordedLoad::default();
+    let mut recorded = RecordedLoad::default();
     for line in text.lines().map(str::trim).filter(|line| !line.is_empty()) {
         match parse_line(line) {
-            Some(offer) => load.calls.push(offer),
-            None => load.skipped += 1,
+            Some(call) => recorded.calls.push(call),
+            None => recorded.skipped += 1,
         }
     }
-    load.calls.sort_by_key(|offer| offer.at);
-    load
+    recorded.calls.sort_by_key(|call| call.at);
+    recorded
 }
 
-/// `host ident user [time] "request" status bytes`, and whatever follows in the Combined format.
+/// Parses `host ident user [time] "request" status bytes`; further fields (Combined format) are ignored.
 fn parse_line(line: &str) -> Option<RecordedCall> {
     let (_, rest) = line.split_once('[')?;
     let (time, rest) = rest.split_once(']')?;
     let at = DateTime::parse_from_str(time, "%d/%b/%Y:%H:%M:%S %z").ok()?;
-    let (request, rest) = quoted(rest.trim_start())?;
+    let (request, rest) = split_quoted(rest.trim_start())?;
     let status: u16 = rest.split_whitespace().next()?.parse().ok()?;
-    // `GET /path HTTP/1.1`; the version is missing in the oldest form.
+    // `GET /path HTTP/1.1`; an HTTP/0.9 request has no version.
     let target = request.split(' ').nth(1)?;
     Some(RecordedCall {
         at: at.into(),
@@ -34,8 +34,8 @@
     })
 }
 
-/// What stands in quotes at the start, and what follows. A quote with a backslash before it does not end it.
-fn quoted(text: &str) -> Option<(&str, &str)> {
+/// Splits a quoted string from the start of `text` and returns its content and the rest. `\"` does not end it.
+fn split_quoted(text: &str) -> Option<(&str, &str)> {
     let text = text.strip_prefix('"')?;
     let mut escaped = false;
     let end = text.bytes().position(|byte| {
--- a/src/load/har.rs
+++ b/src/load/har.rs
@@ -1,4 +1,4 @@
-//! HAR files (HTTP Archive 1.2): one call for each entry.
+//! Parser of HAR files (HTTP Archive 1.2). Each entry becomes one call.
 
 use std::time::Duration;
 
@@ -7,27 +7,27 @@
 use super::{LoadError, RecordedCall, RecordedLoad, path_of};
 use crate::config::{ConfigError, Node, parse_json_to};
 
-/// Deepest nesting of a HAR file: browsers nest the stacks that led to a request.
-const DEEPEST: usize = 400;
+/// Maximum nesting depth of a HAR file. Browsers write the call stack of each request as nested objects.
+const MAX_NESTING: usize = 400;
 
-/// Reads a HAR file. An entry that lacks what a call needs is counted as skipped.
+/// Parses a HAR file. Entries without a valid time or URL are counted as skipped.
 ///
 /// # Errors
-/// If it is not JSON or has no list of entries.
+/// If the text is not JSON or has no list of entries.
 pub fn parse(text: &str) -> Result<RecordedLoad, LoadError> {
-    let json = parse_json_to(DEEPEST, text).map_err(LoadError::InvalidHar)?;
+    let json = parse_json_to(MAX_NESTING, text).map_err(LoadError::InvalidHar)?;
     let top = Node { path: String::new(), value: &json };
     let invalid_har = |error: ConfigError| LoadError::InvalidHar(error.to_string());
     let entries = top.get("log").and_then(|log| log.get("entries")?.items()).map_err(invalid_har)?;
-    let mut load = RecordedLoad::default();
+    let mut recorded = RecordedLoad::default();
     for entry in entries {
         match parse_entry(&entry) {
-            Some(offer) => load.calls.push(offer),
-            None => load.skipped += 1,
+            Some(call) => recorded.calls.push(call),
+            None => recorded.skipped += 1,
         }
     }
-    load.calls.sort_by_key(|offer| offer.at);
-    Ok(load)
+    recorded.calls.sort_by_key(|call| call.at);
+    Ok(recorded)
 }
 
 fn parse_entry(entry: &Node<'_>) -> Option<RecordedCall> {
@@ -38,7 +38,7 @@
         at: started.into(),
         path: path_of(&entry.get("request").ok()?.text("url").ok()?),
         elapsed: elapsed.map(|ms| Duration::from_secs_f64(ms.min(1e9) / 1_000.0)),
-        // 0 stands for a request that got no answer at all.
+        // Status 0 means that the request got no response.
         served: (1.0..400.0).contains(&status),
     })
 }
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -1,4 +1,5 @@
-//! Sources of load: HAR files and access logs, read into one timed list of calls. Nothing is sent from here.
+//! Readers of recorded load: HAR files and access logs are merged into one chronological list of calls. Nothing
+//! is sent.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,132 +13,133 @@
 pub mod clf;
 pub mod har;
 
-/// What is wrong with a source.
+/// Why a source cannot be read.
 #[derive(Debug, Error)]
 pub enum LoadError {
-    /// It cannot be read.
+    /// Reading the file failed.
     #[error("cannot be read: {0}")]
     Io(#[from] std::io::Error),
-    /// It is no HAR file.
+    /// The text is not a valid HAR file.
     #[error("not a HAR file: {0}")]
     InvalidHar(String),
 }
 
-/// One request of the recorded past, as a call.
+/// A recorded request, taken as a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecordedCall {
-    /// When it came.
+    /// When the request was sent or logged.
     pub at: SystemTime,
-    /// What it was for: the path asked for, without its query.
+    /// Requested path, without the query.
     pub path: String,
-    /// How long it took, where the source says.
+    /// Duration of the request, if the source has it.
     pub elapsed: Option<Duration>,
-    /// Whether it was served (a status below 400).
+    /// Whether the request succeeded (a status below 400).
     pub served: bool,
 }
 
-/// Calls in the order of their times, from any number of sources.
+/// Calls from any number of sources, in chronological order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecordedLoad {
-    /// The calls.
+    /// The calls, in chronological order.
     pub calls: Vec<RecordedCall>,
-    /// Lines or entries that could not be read.
+    /// Number of lines or entries that could not be parsed.
     pub skipped: usize,
 }
 
 impl RecordedLoad {
-    /// Reads a source: a HAR file if it begins as JSON does, else an access log.
+    /// Parses a source: a HAR file if it begins with `{`, an access log otherwise.
     ///
     /// # Errors
-    /// If it begins as JSON and is no HAR file.
+    /// If it begins with `{` and is not a HAR file.
     pub fn parse(text: &str) -> Result<Self, LoadError> {
         let text = text.trim_start_matches('\u{feff}');
         if text.trim_start().starts_with('{') { har::parse(text) } else { Ok(clf::parse(text)) }
     }
 
-    /// Merges another source in.
+    /// Adds the calls of another source.
     pub fn merge(&mut self, other: Self) {
         self.skipped += other.skipped;
         self.calls.extend(other.calls);
-        self.calls.sort_by_key(|offer| offer.at);
+        self.calls.sort_by_key(|call| call.at);
     }
 
     fn start(&self) -> Option<SystemTime> {
-        self.calls.first().map(|offer| offer.at)
+        self.calls.first().map(|call| call.at)
     }
 
-    /// How long after the first call this one came.
-    fn offset(&self, offer: &RecordedCall) -> Duration {
-        self.start().and_then(|start| offer.at.duration_since(start).ok()).unwrap_or_default()
+    /// Time from the first call to this one.
+    fn offset(&self, call: &RecordedCall) -> Duration {
+        self.start().and_then(|start| call.at.duration_since(start).ok()).unwrap_or_default()
     }
 
-    /// The figures of the whole.
+    /// Statistics of all calls.
     pub fn summary(&self) -> Summary {
-        let mut seconds: BTreeMap<u64, usize> = BTreeMap::new();
-        let mut keys: BTreeMap<&str, usize> = BTreeMap::new();
-        for offer in &self.calls {
-            *seconds.entry(self.offset(offer).as_secs()).or_default() += 1;
-            *keys.entry(&offer.path).or_default() += 1;
+        let mut calls_per_second: BTreeMap<u64, usize> = BTreeMap::new();
+        let mut calls_per_path: BTreeMap<&str, usize> = BTreeMap::new();
+        for call in &self.calls {
+            *calls_per_second.entry(self.offset(call).as_secs()).or_default() += 1;
+            *calls_per_path.entry(&call.path).or_default() += 1;
         }
-        let mut busiest: Vec<(String, usize)> = keys.into_iter().map(|(k, n)| (k.to_owned(), n)).collect();
-        busiest.sort_by(|a, b| b.1.cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
-        let mut took: Vec<Duration> = self.calls.iter().filter_map(|offer| offer.elapsed).collect();
-        took.sort_unstable();
+        let mut paths: Vec<(String, usize)> =
+            calls_per_path.into_iter().map(|(path, count)| (path.to_owned(), count)).collect();
+        paths.sort_by(|a, b| b.1.cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
+        let mut elapsed: Vec<Duration> = self.calls.iter().filter_map(|call| call.elapsed).collect();
+        elapsed.sort_unstable();
         Summary {
             calls: self.calls.len(),
             skipped: self.skipped,
             duration: self.calls.last().map(|last| self.offset(last)).unwrap_or_default(),
-            peak_per_second: seconds.into_values().max().unwrap_or(0),
-            served: self.calls.iter().filter(|offer| offer.served).count(),
-            distinct_paths: busiest.len(),
-            busiest_paths: busiest.into_iter().take(5).collect(),
-            median_elapsed: took.get(took.len() / 2).copied(),
+            peak_per_second: calls_per_second.into_values().max().unwrap_or(0),
+            served: self.calls.iter().filter(|call| call.served).count(),
+            distinct_paths: paths.len(),
+            busiest_paths: paths.into_iter().take(5).collect(),
+            median_elapsed: elapsed.get(elapsed.len() / 2).copied(),
         }
     }
 
-    /// The calls as set-ups of the platform's JSON lines, each with the time from the first one.
-    pub fn setups<'a>(&'a self, plan: &'a SetUpOptions) -> impl Iterator<Item = (Duration, String)> + 'a {
-        self.calls.iter().enumerate().map(|(i, offer)| {
-            let hash = fnv(&offer.path);
-            let dest = plan.dest.unwrap_or_else(|| (hash % u64::from(plan.exchanges.max(1))) as u32);
-            let call = CallUid::from_u64(hash.rotate_left(32) ^ (i as u64 + 1));
-            let key = format!("{hash:016x}");
-            (self.offset(offer), write_setup(call, &plan.class, plan.remaining, &key, dest))
+    /// The calls as set-ups of the JSON lines protocol, each with the time since the first one.
+    pub fn setups<'a>(&'a self, options: &'a SetUpOptions) -> impl Iterator<Item = (Duration, String)> + 'a {
+        self.calls.iter().enumerate().map(|(index, call)| {
+            let hash = fnv1a(&call.path);
+            let dest = options.dest.unwrap_or_else(|| (hash % u64::from(options.exchanges.max(1))) as u32);
+            let uid = CallUid::from_u64(hash.rotate_left(32) ^ (index as u64 + 1));
+            let called_number = format!("{hash:016x}");
+            (self.offset(call), write_setup(uid, &options.class, options.remaining, &called_number, dest))
         })
     }
 }
 
-/// How recorded requests become calls.
+/// Values of the set-ups that recorded requests do not have.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SetUpOptions {
     /// Class of every call.
     pub class: String,
-    /// How long its caller waits.
+    /// How long the caller of each call waits.
     pub remaining: Duration,
-    /// The exchange of every call; `None` to spread them by key.
+    /// Destination exchange of every call; `None` to choose it by a hash of the path.
     pub dest: Option<u32>,
-    /// Exchanges to spread over.
+    /// Number of exchanges to choose from.
     pub exchanges: u32,
 }
 
-/// Figures of a load.
+/// Statistics of a recorded load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Summary {
-    /// Calls.
+    /// Number of calls.
     pub calls: usize,
-    /// What could not be read.
+    /// Number of lines or entries that could not be parsed.
     pub skipped: usize,
-    /// From the first to the last.
+    /// Time from the first call to the last.
     pub duration: Duration,
-    /// Most in one second, counted from the first.
+    /// Most calls in one second; the seconds are counted from the first call.
     pub peak_per_second: usize,
-    /// Served at the time.
+    /// Number of calls whose request succeeded.
     pub served: usize,
-    /// Different keys.
+    /// Number of different paths.
     pub distinct_paths: usize,
-    /// The five busiest.
+    /// The five most requested paths, with the number of calls.
     pub busiest_paths: Vec<(String, usize)>,
-    /// Median time taken, where known.
+    /// Median duration of the requests that have one.
     pub median_elapsed: Option<Duration>,
 }
 
@@ -152,14 +154,14 @@
             writeln!(f, "took       {:.1} ms (median)", median.as_secs_f64() * 1_000.0)?;
         }
         writeln!(f, "keys       {}", self.distinct_paths)?;
-        for (key, count) in &self.busiest_paths {
-            writeln!(f, "{count:>10} {key}")?;
+        for (path, count) in &self.busiest_paths {
+            writeln!(f, "{count:>10} {path}")?;
         }
         Ok(())
     }
 }
 
-/// What a request was for: its path without host and query.
+/// Path of a request target, without host, query and fragment.
 fn path_of(target: &str) -> String {
     let path = match target.split_once("://") {
         Some((_, rest)) => rest.find('/').map_or("/", |at| &rest[at..]),
@@ -168,6 +170,8 @@
     path.split(['?', '#']).next().unwrap_or(path).to_owned()
 }
 
-fn fnv(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3))
+/// 64-bit FNV-1a hash.
+fn fnv1a(text: &str) -> u64 {
+    text.bytes()
+        .fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
 }
