--- a/tests/common/rng.rs
+++ b/tests/common/rng.rs
@@ -1,6 +1,8 @@
-//! The same numbers from the same seed, everywhere (splitmix64): for tests and examples of all packages.
+//! SplitMix64, a pseudo-random generator whose output depends on the seed alone. Used by tests and examples of all
+//! packages.
 #![allow(dead_code)]
 
+/// The generator, with its state; a new one is made from a seed.
 pub struct SplitMix64(pub u64);
 
 impl SplitMix64 {
@@ -11,6 +13,7 @@
         z ^ (z >> 31)
     }
 
+    /// A number less than `n`.
     pub fn below(&mut self, n: u64) -> u64 {
         self.next_u64() % n
     }
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -18,12 +18,12 @@
 10.0.0.2 - - [01/Jul/2026:12:00:03 +0200] "-" 408 0"#;
 
 #[test]
-fn both_formats_become_one_list_in_the_order_of_their_times() {
+fn har_files_and_access_logs_merge_into_one_chronological_list() {
     let mut load = RecordedLoad::parse(HAR).expect("a HAR file");
     assert_eq!((load.calls.len(), load.skipped), (3, 1));
     load.merge(RecordedLoad::parse(LOG).expect("a log"));
-    let keys: Vec<&str> = load.calls.iter().map(|call| call.path.as_str()).collect();
-    assert_eq!(keys, ["/units/7", "/", "/parts/3", "/units/7", "/a\\\"b"]);
+    let paths: Vec<&str> = load.calls.iter().map(|call| call.path.as_str()).collect();
+    assert_eq!(paths, ["/units/7", "/", "/parts/3", "/units/7", "/a\\\"b"]);
     let served: Vec<bool> = load.calls.iter().map(|call| call.served).collect();
     assert_eq!(served, [false, false, true, true, false]);
     let summary = load.summary();
@@ -35,12 +35,12 @@
 }
 
 #[test]
-fn calls_are_printed_as_set_ups_that_the_front_reads() {
+fn set_ups_are_parsed_by_the_json_lines_reader() {
     let load = RecordedLoad::parse(HAR).expect("a HAR file");
     let remaining = Duration::from_secs(9);
-    let plan = SetUpOptions { class: "unit-status".to_owned(), remaining, dest: None, exchanges: 3 };
+    let options = SetUpOptions { class: "unit-status".to_owned(), remaining, dest: None, exchanges: 3 };
     let mut seen = Vec::new();
-    for (at, line) in load.setups(&plan) {
+    for (at, line) in load.setups(&options) {
         let read = read_caller(line.as_bytes(), std::time::UNIX_EPOCH);
         let Ok(FromCaller::SetUp(call, setup)) = read else { panic!("{line}") };
         assert_eq!((setup.class.as_str(), setup.remaining), ("unit-status", Some(remaining)));
@@ -48,20 +48,24 @@
         seen.push((at.as_millis(), setup.called_number, setup.dest, call));
     }
     assert_eq!(seen.iter().map(|s| s.0).collect::<Vec<_>>(), [0, 900, 2_500]);
-    assert_eq!((&seen[0].1, seen[0].2), (&seen[2].1, seen[2].2), "one path is one number");
-    assert_ne!(seen[0].3, seen[2].3, "every set-up has an id of its own");
-    let fixed = SetUpOptions { dest: Some(2), ..plan };
+    assert_eq!(
+        (&seen[0].1, seen[0].2),
+        (&seen[2].1, seen[2].2),
+        "the same path gives the same called number"
+    );
+    assert_ne!(seen[0].3, seen[2].3, "every set-up has its own id");
+    let fixed = SetUpOptions { dest: Some(2), ..options };
     assert!(load.setups(&fixed).all(|(_, line)| line.contains("dest:2;")));
 }
 
 #[test]
-fn what_is_no_har_file_is_an_error_and_garbage_is_counted() {
+fn an_invalid_har_file_is_an_error_and_unreadable_lines_are_counted() {
     assert!(RecordedLoad::parse("{\"log\":{}}").is_err());
     assert!(RecordedLoad::parse("{\"log\":").is_err());
     assert_eq!(RecordedLoad::parse("a\n[b\n[c] \"d").expect("a log").skipped, 3);
-    let whole = LOG.lines().next().expect("a line");
-    for end in 1..whole.len() - 8 {
-        let load = RecordedLoad::parse(&whole[..end]).expect("a log");
+    let line = LOG.lines().next().expect("a line");
+    for end in 1..line.len() - 8 {
+        let load = RecordedLoad::parse(&line[..end]).expect("a log");
         assert_eq!((load.calls.len(), load.skipped), (0, 1), "{end}");
     }
     assert_eq!(RecordedLoad::parse("").expect("an empty log"), RecordedLoad::default());
