--- a/src/iax2/mod.rs
+++ b/src/iax2/mod.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
 
-use crate::config::{ConfigError, Node, parse_json};
+use crate::config::{ConfigError, JsonNode, parse_json};
 use crate::engine::{CallUid, CallerConnId, CallerMessage, ExchangeConnId, ExchangeMessage, Input, SetUp};
 use crate::interface::{Number, Outcome, Reason};
 use element::{G711_FORMATS, InformationElements, PROTOCOL_VERSION, cause_elements, outcome_of};
@@ -56,18 +56,18 @@
     /// If the file is malformed. The error names the key.
     pub fn parse(text: &str) -> Result<Option<Self>, ConfigError> {
         let json = parse_json(text).map_err(ConfigError::NotJson)?;
-        let top = Node { path: String::new(), value: &json };
+        let top = JsonNode { path: String::new(), value: &json };
         if !top.flag("enabled")? {
             return Ok(None);
         }
-        let exchange_number = |node: &Node<'_>| {
+        let exchange_number = |node: &JsonNode<'_>| {
             let number = node.value.get::<f64>().copied().filter(|n| (0.0..=65_535.0).contains(n));
             number.map(|n| n as Number).ok_or_else(|| ConfigError::Key(node.path.clone()))
         };
-        let parse_context = |context: &Node<'_>| {
+        let parse_context = |context: &JsonNode<'_>| {
             let prefixes = context.get("numbers")?.items()?;
             let parse_prefix =
-                |entry: &Node<'_>| Ok((entry.text("prefix")?, exchange_number(&entry.get("exchange")?)?));
+                |entry: &JsonNode<'_>| Ok((entry.text("prefix")?, exchange_number(&entry.get("exchange")?)?));
             Ok(Context {
                 name: context.text("context")?,
                 class: context.text("class")?,
--- a/src/load/har.rs
+++ b/src/load/har.rs
@@ -5,7 +5,7 @@
 use chrono::DateTime;
 
 use super::{LoadError, RecordedCall, RecordedLoad, path_of};
-use crate::config::{ConfigError, Node, parse_json_to};
+use crate::config::{ConfigError, JsonNode, parse_json_to_depth};
 
 /// Maximum nesting depth of a HAR file. Browsers write the call stack of each request as nested objects.
 const MAX_NESTING: usize = 400;
@@ -15,8 +15,8 @@
 /// # Errors
 /// If the text is not JSON or has no list of entries.
 pub fn parse(text: &str) -> Result<RecordedLoad, LoadError> {
-    let json = parse_json_to(MAX_NESTING, text).map_err(LoadError::InvalidHar)?;
-    let top = Node { path: String::new(), value: &json };
+    let json = parse_json_to_depth(MAX_NESTING, text).map_err(LoadError::InvalidHar)?;
+    let top = JsonNode { path: String::new(), value: &json };
     let invalid_har = |error: ConfigError| LoadError::InvalidHar(error.to_string());
     let entries = top.get("log").and_then(|log| log.get("entries")?.items()).map_err(invalid_har)?;
     let mut recorded = RecordedLoad::default();
@@ -30,7 +30,7 @@
     Ok(recorded)
 }
 
-fn parse_entry(entry: &Node<'_>) -> Option<RecordedCall> {
+fn parse_entry(entry: &JsonNode<'_>) -> Option<RecordedCall> {
     let started = DateTime::parse_from_rfc3339(&entry.text("startedDateTime").ok()?).ok()?;
     let elapsed = entry.number("time").ok().filter(|ms| *ms >= 0.0);
     let status = entry.get("response").and_then(|r| r.number("status")).unwrap_or(0.0);
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 use crate::engine::CallUid;
-use crate::net::jsonl::write_setup;
+use crate::net::jsonl::format_set_up;
 
 pub mod clf;
 pub mod har;
@@ -104,7 +104,7 @@
             let dest = options.dest.unwrap_or_else(|| (hash % u64::from(options.exchanges.max(1))) as u32);
             let uid = CallUid::from_u64(hash.rotate_left(32) ^ (index as u64 + 1));
             let called_number = format!("{hash:016x}");
-            (self.offset(call), write_setup(uid, &options.class, options.remaining, &called_number, dest))
+            (self.offset(call), format_set_up(uid, &options.class, options.remaining, &called_number, dest))
         })
     }
 }
