--- a/benches/recording.rs
+++ b/benches/recording.rs
@@ -1,5 +1,6 @@
-//! What recording costs the reducer: a call from set-up to release, with records off, with records made and dropped, and
-//! with records handed to the recorder that writes them to a folder. One run, so that the three can be compared.
+//! Cost of recording for the reducer: one call from set-up to release with records off, with records made and
+//! dropped, and with records written to a directory by the recorder. All three are measured in one run, so that
+//! they can be compared.
 //!
 //! `cargo bench --bench recording`
 
@@ -14,8 +15,8 @@
 use swiftlb::engine::{Effect, Input};
 use swiftlb_record::{FileHeader, Recorder, RecorderSettings};
 
-/// A call to exchange 1: set-up, news of the group, answer, release, news again.
-fn call(harness: &mut EngineHarness, number: u64, mut keep: impl FnMut(Effect)) {
+/// Simulates a call to exchange 1: set-up, report of the group, answer, release, another report.
+fn simulate_call(harness: &mut EngineHarness, number: u64, mut on_effect: impl FnMut(Effect)) {
     harness.now += Duration::from_millis(16);
     let exchange_conn = harness.exchange_conn(1);
     harness.place_call(number, 1, 2_000);
@@ -25,7 +26,7 @@
     harness.handle(Input::HangUp { caller_conn: CALLER_CONN, call: call_uid(number), cause: 16 });
     harness.handle(Input::GroupState { exchange_conn, report: vec![(number % 50) as f64 + 11.0, 100.0] });
     harness.clear_setups();
-    harness.effects.drain(..).for_each(&mut keep);
+    harness.effects.drain(..).for_each(&mut on_effect);
 }
 
 fn recording(criterion: &mut Criterion) {
@@ -36,7 +37,7 @@
     group.bench_function("records off", |bencher| {
         bencher.iter(|| {
             number += 1;
-            call(&mut harness, number, |effect| drop(black_box(effect)));
+            simulate_call(&mut harness, number, |effect| drop(black_box(effect)));
         });
     });
     let mut harness = EngineHarness::new(7);
@@ -44,23 +45,23 @@
     group.bench_function("records made", |bencher| {
         bencher.iter(|| {
             number += 1;
-            call(&mut harness, number, |effect| drop(black_box(effect)));
+            simulate_call(&mut harness, number, |effect| drop(black_box(effect)));
         });
     });
-    let folder = std::env::temp_dir().join(format!("swiftlb-bench-{}", std::process::id()));
+    let directory = std::env::temp_dir().join(format!("swiftlb-bench-{}", std::process::id()));
     let settings = RecorderSettings {
-        directory: folder.clone(),
+        directory: directory.clone(),
         budget_bytes: 256 << 20,
         ..RecorderSettings::default()
     };
     let recorder = Recorder::start(settings, FileHeader::first_of_run("n0", 0, 1), |error| panic!("{error}"));
-    let mut recorder = recorder.expect("a folder");
+    let mut recorder = recorder.expect("a writable directory");
     let mut harness = EngineHarness::new(7);
     harness.engine.start_recording(false, &mut Vec::new());
     group.bench_function("records written", |bencher| {
         bencher.iter(|| {
             number += 1;
-            call(&mut harness, number, |effect| match effect {
+            simulate_call(&mut harness, number, |effect| match effect {
                 Effect::Record(record) => recorder.record(record),
                 effect => drop(black_box(effect)),
             });
@@ -68,7 +69,7 @@
     });
     group.finish();
     recorder.stop(Duration::from_secs(5));
-    let _ = std::fs::remove_dir_all(&folder);
+    let _ = std::fs::remove_dir_all(&directory);
 }
 
 criterion_group!(benches, recording);
--- a/tests/common/rng.rs
+++ b/tests/common/rng.rs
@@ -1,8 +1,7 @@
-//! SplitMix64, a pseudo-random generator whose output depends on the seed alone. Used by tests and examples of all
-//! packages.
+//! Deterministic pseudo-random numbers for the tests and examples of all packages.
 #![allow(dead_code)]
 
-/// The generator, with its state; a new one is made from a seed.
+/// SplitMix64 generator. It is constructed from a seed; the same seed always gives the same numbers.
 pub struct SplitMix64(pub u64);
 
 impl SplitMix64 {
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Every parser of what comes from outside: valid messages cut at random, and random garbage, from fixed seeds.
+//! The parsers of external input, with valid messages, truncated messages and random data from fixed seeds.
 
 #[path = "common/engine_harness.rs"]
 mod engine_harness;
@@ -29,100 +29,107 @@
     TestRunner::new_with_rng(Cases { cases: 400, failure_persistence: None, ..Cases::default() }, rng)
 }
 
-fn name() -> CallUid {
+fn call_uid() -> CallUid {
     CallUid::parse(CALL).expect("16 digits")
 }
 
-fn report() -> Vec<String> {
+fn report_fields() -> Vec<String> {
     vec!["spare".to_owned(), "total".to_owned()]
 }
 
-fn launch() -> String {
+fn launch_line() -> String {
     format!(
         r#"{{"kind":"launch","uid":"{CALL}","meta":{{"class":"voice","left":"1500","key":"7f3a","extras":"dest:2;width:1;via:3;transit:1;again:1"}},"body":"a\r\n\u00fc"}}"#
     )
 }
 
 #[test]
-fn a_stream_cut_anywhere_gives_the_same_lines() {
-    let stream = format!("{}\n\n{{\"kind\":\"check\"}}\n{}\nrest", launch(), "y".repeat(MAX_LINE_BYTES + 5));
-    let lines = |cuts: &[usize]| {
-        let (mut lines, mut seen, mut at) = (LineSplitter::default(), Vec::new(), 0);
+fn a_stream_split_at_any_bytes_yields_the_same_lines() {
+    let stream =
+        format!("{}\n\n{{\"kind\":\"check\"}}\n{}\nrest", launch_line(), "y".repeat(MAX_LINE_BYTES + 5));
+    let split = |cuts: &[usize]| {
+        let (mut splitter, mut lines, mut start) = (LineSplitter::default(), Vec::new(), 0);
         for end in cuts.iter().copied().chain([stream.len()]) {
-            let pushed = lines.push(&stream.as_bytes()[at..end], |cut| {
-                seen.push(cut);
+            let pushed = splitter.push(&stream.as_bytes()[start..end], |line| {
+                lines.push(line);
                 std::ops::ControlFlow::Continue(())
             });
             assert!(pushed.is_continue());
-            at = end;
+            start = end;
         }
-        seen
+        lines
     };
-    let whole = lines(&[]);
-    assert_eq!(whole.len(), 3);
-    assert!(matches!(&whole[2], SplitLine::TooLong(_)));
+    let unsplit = split(&[]);
+    assert_eq!(unsplit.len(), 3);
+    assert!(matches!(&unsplit[2], SplitLine::TooLong(_)));
     let cuts = vec(0..stream.len(), 0..6);
-    let same = |mut cuts: Vec<usize>| {
+    let yields_same_lines = |mut cuts: Vec<usize>| {
         cuts.sort_unstable();
-        let kind = |cut: &SplitLine| match cut {
+        let content = |line: &SplitLine| match line {
             SplitLine::Complete(line) => Some(line.clone()),
-            // How much of a line that is too long is kept depends on the cuts.
+            // How much of an oversized line is kept depends on where the stream is split.
             SplitLine::TooLong(_) => None,
         };
-        prop_assert!(lines(&cuts).iter().map(kind).eq(whole.iter().map(kind)));
+        prop_assert!(split(&cuts).iter().map(content).eq(unsplit.iter().map(content)));
         Ok(())
     };
-    runner(1).run(&cuts, same).expect("the same lines");
+    runner(1).run(&cuts, yields_same_lines).expect("the same lines");
 }
 
 #[test]
-fn lines_cut_short_and_garbage_are_errors_and_never_panics() {
-    let line = launch();
+fn truncated_lines_and_random_data_are_errors_without_panics() {
+    let line = launch_line();
     for end in 0..line.len() {
         assert!(parse_caller_line(&line.as_bytes()[..end], UNIX_EPOCH).is_err(), "{end}");
     }
-    let garbage = |bytes: Vec<u8>| {
-        let _ = (parse_caller_line(&bytes, UNIX_EPOCH), parse_exchange_line(&bytes, &report()));
+    let parse_random_bytes = |bytes: Vec<u8>| {
+        let _ = (parse_caller_line(&bytes, UNIX_EPOCH), parse_exchange_line(&bytes, &report_fields()));
         let _ = (dns::parse_answer(&[1], &bytes, &[]), decode(&bytes), InformationElements::decode(&bytes));
         let text = String::from_utf8_lossy(&bytes);
         prop_assert!(Config::parse(&text).is_err());
         Ok(())
     };
-    runner(2).run(&vec(any::<u8>(), 0..200), garbage).expect("errors only");
-    let pieces = prop::sample::select(vec![
+    runner(2).run(&vec(any::<u8>(), 0..200), parse_random_bytes).expect("errors only");
+    let token = prop::sample::select(vec![
         "{", "}", "[", "]", ":", ",", "\"", "\\", "\\u", "d83d", "1e9", "null", "kind", "uid", CALL, "meta",
     ]);
-    let json = |pieces: Vec<&str>| {
-        let _ = parse_caller_line(pieces.concat().as_bytes(), UNIX_EPOCH);
+    let parse_tokens = |tokens: Vec<&str>| {
+        let _ = parse_caller_line(tokens.concat().as_bytes(), UNIX_EPOCH);
         Ok(())
     };
-    runner(3).run(&vec(pieces, 0..60), json).expect("errors only");
-    assert!(parse_json(&"[".repeat(9_000)).is_err(), "a stack would run over");
+    runner(3).run(&vec(token, 0..60), parse_tokens).expect("errors only");
+    assert!(parse_json(&"[".repeat(9_000)).is_err(), "deep nesting must not overflow the stack");
 }
 
 #[test]
-fn a_set_up_is_read_field_by_field_and_a_wrong_one_names_its_call() {
+fn a_set_up_is_parsed_and_a_malformed_one_is_reported_with_its_call() {
     let now = SystemTime::now();
-    let Ok(CallerLine::SetUp(call, setup)) = parse_caller_line(launch().as_bytes(), now) else { panic!() };
-    assert_eq!((call, setup.class.as_str(), setup.dest), (name(), "voice", 2));
+    let Ok(CallerLine::SetUp(call, setup)) = parse_caller_line(launch_line().as_bytes(), now) else {
+        panic!()
+    };
+    assert_eq!((call, setup.class.as_str(), setup.dest), (call_uid(), "voice", 2));
     assert_eq!((setup.remaining, setup.received), (Some(Duration::from_millis(1_500)), now));
     assert_eq!((setup.transit_from, setup.advised_route, setup.was_cut), (Some(3), None, true));
     assert_eq!(setup.description.as_deref(), Some("a\r\n\u{fc}"));
     for (from, to) in
         [("dest:2", "dest:x"), ("\"1500\"", "\"soon\""), ("\"voice\"", "[]"), ("launch", "l\nunch")]
     {
-        let wrong = launch().replace(from, to);
-        assert_eq!(parse_caller_line(wrong.as_bytes(), now), Err(LineError::Malformed(name())), "{wrong}");
+        let malformed = launch_line().replace(from, to);
+        assert_eq!(
+            parse_caller_line(malformed.as_bytes(), now),
+            Err(LineError::Malformed(call_uid())),
+            "{malformed}"
+        );
     }
-    let other = launch().replace(CALL, "9b1f");
-    assert_eq!(parse_caller_line(other.as_bytes(), now), Err(LineError::Unreadable));
+    let invalid_uid = launch_line().replace(CALL, "9b1f");
+    assert_eq!(parse_caller_line(invalid_uid.as_bytes(), now), Err(LineError::Unreadable));
 }
 
 #[test]
-fn every_end_and_note_of_an_exchange_has_its_outcome_and_reason() {
+fn causes_and_notes_of_exchanges_map_to_outcomes_and_reasons() {
     let stop = |cause: u32, meta: &str| {
         let line = format!(r#"{{"kind":"stop","uid":"{CALL}","meta":{{{meta}}},"reason":{cause}}}"#);
-        match parse_exchange_line(line.as_bytes(), &report()) {
+        match parse_exchange_line(line.as_bytes(), &report_fields()) {
             Ok(ExchangeLine::Stop(_, outcome, reason)) => (outcome, reason),
             other => panic!("{other:?}"),
         }
@@ -135,16 +142,16 @@
     assert_eq!(stop(102, &note("group_full")), (Outcome::NotSent, Reason::NoCircuit));
     assert_eq!(stop(34, &note("tandem_refused")), (Outcome::Congested, Reason::CrankBack));
     assert_eq!(stop(34, &note("destination_full")), (Outcome::Congested, Reason::DestinationFull));
-    let full = r#""note":"processor_full","waited":"2400""#;
-    assert_eq!(stop(34, full), (Outcome::Congested, Reason::ProcessorFull(2_400.0)));
+    let processor_full = r#""note":"processor_full","waited":"2400""#;
+    assert_eq!(stop(34, processor_full), (Outcome::Congested, Reason::ProcessorFull(2_400.0)));
     assert_eq!(stop(102, &note("processor_full")), (Outcome::NotSent, Reason::ProcessorFull(0.0)));
 }
 
 #[test]
-fn a_report_has_its_values_by_name_and_what_is_missing_is_no_number() {
+fn load_report_values_are_parsed_by_name_and_missing_ones_are_nan() {
     let usage = |load: &str| {
         let line = format!(r#"{{"kind":"usage","meta":{{"load":"{load}"}},"uid":"0000000000000000"}}"#);
-        match parse_exchange_line(line.as_bytes(), &report()) {
+        match parse_exchange_line(line.as_bytes(), &report_fields()) {
             Ok(ExchangeLine::Usage(report)) => report,
             other => panic!("{other:?}"),
         }
@@ -155,16 +162,16 @@
 }
 
 #[test]
-fn lines_are_written_as_the_platform_reads_them() {
+fn messages_are_formatted_as_lines_of_the_protocol() {
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
     let refused = CallerMessage::Refused { retry_after: Duration::from_millis(300) };
     assert_eq!(
-        text(format_caller_message(name(), &refused)),
+        text(format_caller_message(call_uid(), &refused)),
         format!("{{\"kind\":\"stop\",\"uid\":\"{CALL}\",\"meta\":{{\"wait\":\"300\"}},\"reason\":34}}\n")
     );
-    // Failures are never written with a cause that stands for a refusal.
+    // A failure never has a cause that callers take for a refusal.
     for busy in [true, false] {
-        let line = text(format_caller_message(name(), &CallerMessage::Failed { busy }));
+        let line = text(format_caller_message(call_uid(), &CallerMessage::Failed { busy }));
         assert!(["34}", "42}", "102}"].iter().all(|cause| !line.contains(cause)), "{line}");
     }
     let description = Some("a\r\n\"\u{fc}\u{1f600}".into());
@@ -175,14 +182,14 @@
         remaining,
         description,
     };
-    let line = text(format_exchange_message(name(), &setup));
+    let line = text(format_exchange_message(call_uid(), &setup));
     assert!(line.ends_with("}\n") && line.matches('\n').count() == 1, "{line}");
     assert!(line.contains(r#""class":"voice","key":"7F3a","left":"1500""#), "{line}");
 }
 
 #[test]
-fn the_resolvers_answer_is_read_as_a_real_one_was_sent() {
-    // Recorded from a resolver; its names are compressed.
+fn a_recorded_answer_of_a_resolver_is_parsed() {
+    // Recorded from a resolver, with compressed names.
     let hex = "123485800001000300010006045f617069045f74637003737663056c6f63616c0000210001c00c0021000100000001001d\
         0000000a13ce0a732d3066656134393536047769656e05686f73747300c00c0021000100000001001d0000000a13ce0a732d326662\
         3232646163046772617a05686f73747300c00c0021000100000001001d0000000a13ce0a732d3366313233653538046c696e7a0568\
@@ -193,9 +200,9 @@
     let mut bytes: Vec<u8> = (0..hex.len() / 2).map(digits).collect();
     bytes[11] = 2; // The recording ends after the records of the first target.
     let zones = ["graz".to_owned(), "wien".to_owned()];
-    // An exchange that is not listed counts as gone, so an answer that lacks records of one is none at all.
+    // An exchange that is missing from the list counts as removed, so an answer that lacks records is rejected.
     assert!(matches!(dns::parse_answer(&[0x1234], &bytes, &zones), Err(dns::AnswerError::Incomplete)));
-    // The same without the two targets of which nothing more is said.
+    // The same answer without the two targets that have no further records.
     let (first, second) = (12 + 26 + 41, 12 + 26 + 3 * 41);
     bytes.drain(first..second);
     bytes[7] = 1;
@@ -209,11 +216,11 @@
         assert!(dns::parse_answer(&[0x1234], &bytes[..end], &zones).is_err(), "{end}");
     }
     let query = dns::build_query(0x1234).expect("a query");
-    assert_eq!(&query[12..], &bytes[12..12 + query.len() - 12], "the question is the one that was answered");
+    assert_eq!(&query[12..], &bytes[12..12 + query.len() - 12], "the question equals that of the answer");
 }
 
 #[test]
-fn frames_have_the_layout_of_the_specification() {
+fn frames_have_the_layout_of_rfc_5456() {
     let bytes = [0x80, 0x05, 0x80, 0x07, 0, 0, 1, 2, 3, 4, 6, 1, 0x0b, 2, 0, 2];
     let Ok(Frame::Full(frame)) = decode(&bytes) else { panic!() };
     assert_eq!(
@@ -234,12 +241,12 @@
 }
 
 #[test]
-fn elements_come_back_as_written_and_cut_ones_are_errors() {
+fn information_elements_round_trip_and_truncated_ones_are_errors() {
     let text = "[ -~]{0,40}";
     let any_text = || prop::option::of(text.prop_map(String::from));
     let numbers = (any::<Option<u32>>(), any::<Option<u32>>(), any::<Option<u16>>(), any::<Option<u8>>());
     let texts = (any_text(), any_text(), any_text(), any_text());
-    let both = |((called, calling, context, cause), (capability, format, version, code))| {
+    let round_trip = |((called, calling, context, cause), (capability, format, version, code))| {
         let elements = InformationElements {
             called_number: called,
             calling_number: calling,
@@ -255,13 +262,13 @@
         prop_assert_eq!(InformationElements::decode(&bytes), Ok(elements));
         Ok(())
     };
-    runner(4).run(&(texts, numbers), both).expect("the same elements");
+    runner(4).run(&(texts, numbers), round_trip).expect("the same elements");
     assert_eq!(InformationElements::decode(&[1, 5, b'1']), Err(FrameError::TruncatedElement(1)));
     assert_eq!(InformationElements::decode(&[1]), Err(FrameError::TruncatedElement(1)));
 }
 
 #[test]
-fn causes_and_advice_mean_the_same_in_both_directions() {
+fn causes_and_retry_after_times_mean_the_same_in_both_directions() {
     let refused = cause_elements(&CallerMessage::Refused { retry_after: Duration::from_millis(700) });
     assert_eq!(outcome_of(&refused), (Outcome::Congested, Reason::ProcessorFull(700.0)));
     assert_eq!(
@@ -285,29 +292,30 @@
 }
 
 #[test]
-fn whatever_datagrams_come_an_endpoint_holds_no_leg_but_for_a_set_up() {
-    let config = || Iax2Config::parse(IAX2).expect("a configuration").expect("it is on");
+fn random_datagrams_do_not_panic_and_legs_of_unresponsive_callers_are_removed() {
+    let config = || Iax2Config::parse(IAX2).expect("a configuration").expect("IAX2 is enabled");
     let from = "127.0.0.1:4000".parse().expect("an address");
-    let garbage = |datagrams: Vec<Vec<u8>>| {
+    let receive_all = |datagrams: Vec<Vec<u8>>| {
         let mut endpoint = Endpoint::new(config(), 0, 1);
         let mut out = Output::default();
-        for (at, bytes) in datagrams.iter().enumerate() {
-            endpoint.receive(UNIX_EPOCH + Duration::from_millis(at as u64), from, bytes, &mut out);
+        for (ms, bytes) in datagrams.iter().enumerate() {
+            endpoint.receive(UNIX_EPOCH + Duration::from_millis(ms as u64), from, bytes, &mut out);
         }
         let set_ups = out.inputs.iter().filter(|input| matches!(input, Input::SetUp { .. })).count();
         prop_assert!(set_ups <= datagrams.len() && out.datagrams.len() <= 3 * datagrams.len());
         endpoint.handle_timeout(UNIX_EPOCH + Duration::from_secs(60), &mut out);
         Ok(())
     };
-    // Whole headers with random fields reach deeper than plain garbage.
+    // Complete headers with random fields reach more code than random bytes.
     let frame = (0u8..4, 0u8..4, 0u8..3, 0u8..3, 0u8..7, 0u8..0x23, vec(any::<u8>(), 0..12));
-    let frame = frame.prop_map(|(source, dest, oseqno, iseqno, kind, subclass, payload)| {
-        let mut bytes = vec![0x80, source, 0, dest, 0, 0, 0, 1, oseqno, iseqno, kind, subclass];
+    let frame = frame.prop_map(|(source_call, dest_call, oseqno, iseqno, frame_type, subclass, payload)| {
+        let mut bytes =
+            vec![0x80, source_call, 0, dest_call, 0, 0, 0, 1, oseqno, iseqno, frame_type, subclass];
         bytes.extend(payload);
         bytes
     });
     let datagram = prop_oneof![frame, vec(any::<u8>(), 0..40)];
-    runner(5).run(&vec(datagram, 0..30), garbage).expect("no panic");
+    runner(5).run(&vec(datagram, 0..30), receive_all).expect("no panic");
     let mut endpoint = Endpoint::new(config(), 0, 1);
     let mut out = Output::default();
     let (frame_type, payload) =
@@ -325,7 +333,7 @@
     };
     endpoint.receive(UNIX_EPOCH, from, &new.encode(), &mut out);
     assert!(matches!(out.inputs[..], [Input::SetUp { .. }]));
-    // A caller that is never heard again costs its leg no more than some repetitions.
+    // If the caller does not respond any more, its leg is removed after a few retransmissions.
     let call = match &out.inputs[0] {
         Input::SetUp { call, .. } => *call,
         _ => return,
@@ -333,7 +341,7 @@
     endpoint.send_to_caller(UNIX_EPOCH, call, &CallerMessage::Failed { busy: false }, &mut out);
     let mut now = UNIX_EPOCH;
     while let Some(at) = endpoint.next_timeout() {
-        assert!(at <= UNIX_EPOCH + Duration::from_secs(8), "a dead peer is kept for too long");
+        assert!(at <= UNIX_EPOCH + Duration::from_secs(8), "the leg of a dead peer is kept for too long");
         now = now.max(at);
         endpoint.handle_timeout(now, &mut out);
     }
@@ -341,7 +349,7 @@
 }
 
 #[test]
-fn words_between_processes_come_back_as_written_and_cut_or_garbled_ones_are_errors() {
+fn sibling_messages_round_trip_truncated_ones_are_errors_and_corrupted_ones_do_not_panic() {
     let values = vec(prop_oneof![-1e300..1e300, Just(0.0), -3.0..3.0], 0..20);
     let (started_at, call) = (proptest::option::of(0..1_u64 << 62), any::<u64>().prop_map(CallUid::from_u64));
     let input =
@@ -353,7 +361,7 @@
             let address = "10.1.0.9:5070".parse().expect("an address");
             let entry =
                 ListEntry { name: "s-1".into(), address, number, zone: number as u16, started_at, readiness };
-            for word in [
+            for message in [
                 SiblingMessage::HandoverRequest,
                 SiblingMessage::Serving,
                 SiblingMessage::Exchange(entry),
@@ -367,17 +375,17 @@
                 SiblingMessage::Ended { call, cut: flag },
                 SiblingMessage::Release { call, cut: flag },
             ] {
-                let mut line = handover::format_message(&word);
+                let mut line = handover::format_message(&message);
                 prop_assert_eq!(line.pop(), Some(b'\n'));
-                prop_assert_eq!(handover::parse_message(&line), Ok(word));
+                prop_assert_eq!(handover::parse_message(&line), Ok(message));
                 let cut = cut % line.len();
                 prop_assert!(handover::parse_message(&line[..cut]).is_err());
                 line.splice(cut..cut, garbage.iter().copied());
-                // Whatever it has become, it is read or turned down without a panic.
+                // A corrupted line may or may not parse, but must not panic.
                 let _ = handover::parse_message(&line);
             }
             prop_assert!(handover::parse_message(&garbage).is_err());
             Ok(())
         })
-        .expect("words that come back");
+        .expect("equal messages");
 }
