--- a/src/iax2/element.rs
+++ b/src/iax2/element.rs
@@ -1,4 +1,4 @@
-//! Information elements (RFC 5456, section 8.6), and the mapping of outcomes to causes and retry-after texts.
+//! Information elements (RFC 5456, section 8.6), and the mapping between outcomes and Q.850 causes.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 
 /// Protocol version of IAX2.
 pub const PROTOCOL_VERSION: u16 = 2;
-/// Media formats G.711 mu-law and A-law; offered if the other party specifies no format.
+/// Media formats G.711 mu-law and A-law; used where the other party specifies none.
 pub const G711_FORMATS: u32 = 0x0c;
 
 /// The information elements that are supported. Others are ignored, as RFC 5456 requires.
@@ -131,8 +131,8 @@
     digits.parse().ok().map(Duration::from_millis)
 }
 
-/// Outcome and reason when an exchange ends a call with these elements; the Q.850 causes map as in JSON lines.
-/// A missing cause means normal clearing.
+/// Outcome and reason of a call that an exchange ends with these elements. Q.850 causes mean the same as in JSON
+/// lines; a missing cause means normal clearing.
 pub fn outcome_of(elements: &InformationElements) -> (Outcome, Reason) {
     let retry_after = elements.cause.as_deref().and_then(parse_retry_after);
     match elements.cause_code.unwrap_or(16) {
--- a/src/iax2/frame.rs
+++ b/src/iax2/frame.rs
@@ -170,8 +170,8 @@
     Mini(MiniFrame),
 }
 
-/// Highest bit of a 16-bit field: the F bit (full frame) next to the source call number, and the R bit
-/// (retransmission) next to the destination call number.
+/// Highest bit of a call number field: the F bit (full frame) for the source, the R bit (retransmission) for the
+/// destination.
 const HIGH_BIT: u16 = 0x8000;
 /// The C bit of a subclass byte: the subclass is two to the power of the other bits.
 const POWER_OF_TWO: u8 = 0x80;
--- a/src/iax2/leg.rs
+++ b/src/iax2/leg.rs
@@ -252,13 +252,13 @@
         VoiceFrame { timestamp: frame.timestamp, format: frame.subclass, payload: frame.payload }
     }
 
-    /// Extracts the voice of a mini frame. Its format and the upper half of its timestamp are those of the last
-    /// full voice frame; `None` if there was none.
+    /// Extracts the voice of a mini frame, which has neither a format nor the upper half of its timestamp. `None`
+    /// if no full voice frame came before it.
     pub fn voice_from_mini(&mut self, mini: MiniFrame) -> Option<VoiceFrame> {
         let (last, format) = self.received_voice?;
-        // The timestamp nearest to the last one that has this lower half.
-        let step = mini.timestamp.wrapping_sub(last as u16) as i16;
-        let timestamp = last.wrapping_add_signed(i32::from(step));
+        // Of the timestamps with this lower half, the one nearest to the last timestamp.
+        let difference = mini.timestamp.wrapping_sub(last as u16) as i16;
+        let timestamp = last.wrapping_add_signed(i32::from(difference));
         self.received_voice = Some((timestamp.max(last), format));
         Some(VoiceFrame { timestamp, format, payload: mini.payload })
     }
--- a/src/iax2/mod.rs
+++ b/src/iax2/mod.rs
@@ -109,6 +109,7 @@
     Exchange(ExchangeConnId),
 }
 
+/// State of a leg.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     /// The call is not answered yet.
@@ -128,7 +129,7 @@
     call: CallUid,
     role: Role,
     state: State,
-    /// Media format, as a bit of RFC 5456, section 8.7.
+    /// Media format: one of the bits that RFC 5456, section 8.7, defines.
     format: u32,
 }
 
@@ -165,9 +166,11 @@
     exchange_addresses: HashMap<ExchangeConnId, SocketAddr>,
     /// Local call number by address and call number of the peer.
     by_remote_call: HashMap<(SocketAddr, u16), u16>,
+    /// Local call number of the caller's leg of each call.
     caller_legs: HashMap<CallUid, u16>,
+    /// Local call number of each leg toward an exchange.
     exchange_legs: HashMap<(CallUid, ExchangeConnId), u16>,
-    /// Leg toward the exchange of each established call.
+    /// Local call number of the leg toward the exchange, for each established call.
     established: HashMap<CallUid, u16>,
     /// NEW frames by address and call number of the caller: timestamp of the frame, and when it is forgotten.
     recent_new_frames: HashMap<(SocketAddr, u16), (u32, SystemTime)>,
@@ -350,8 +353,8 @@
             return;
         }
         // A peer that does not know the local call number yet is identified by its own call number.
-        let call_number_of_peer = self.by_remote_call.get(&(from, frame.source_call)).copied();
-        let call_number = if frame.dest_call == 0 { call_number_of_peer } else { Some(frame.dest_call) };
+        let known_call_number = self.by_remote_call.get(&(from, frame.source_call)).copied();
+        let call_number = if frame.dest_call == 0 { known_call_number } else { Some(frame.dest_call) };
         let belongs =
             |entry: &&LegEntry| entry.peer == from && [0, frame.source_call].contains(&entry.leg.remote_call);
         let call_number =
--- a/tests/legs.rs
+++ b/tests/legs.rs
@@ -256,12 +256,12 @@
     let new = FullFrame { source_call: 9, dest_call: 0, ..frame(0, iax::NEW, payload) };
     pair.apply(1, |e, now, out| e.receive(now, address(0), &new.encode(), out));
     assert_eq!(pair.count(1, is_set_up), 1);
-    let number = match pair.in_transit.first().map(|(_, _, bytes)| decode(bytes)) {
+    let call_number = match pair.in_transit.first().map(|(_, _, bytes)| decode(bytes)) {
         Some(Ok(Frame::Full(ack))) => ack.source_call,
         other => panic!("{other:?}"),
     };
     pair.in_transit.clear();
-    let unsupport = FullFrame { dest_call: number, ..frame(1, iax::UNSUPPORT, vec![]) };
+    let unsupport = FullFrame { dest_call: call_number, ..frame(1, iax::UNSUPPORT, vec![]) };
     pair.apply(1, |e, now, out| e.receive(now, address(0), &unsupport.encode(), out));
     assert!(single_frame(&[pair.in_transit[0].2.clone()]).is_iax(iax::ACK) && pair.in_transit.len() == 1);
 
@@ -271,7 +271,8 @@
         other => panic!("{other:?}"),
     };
     pair.apply(1, |e, now, out| e.send_to_caller(now, call, &CallerMessage::Failed { busy: false }, out));
-    let last = FullFrame { dest_call: number, frame_type: FrameType::Text, iseqno: 1, ..frame(2, 0, vec![]) };
+    let last =
+        FullFrame { dest_call: call_number, frame_type: FrameType::Text, iseqno: 1, ..frame(2, 0, vec![]) };
     pair.apply(1, |e, now, out| e.receive(now, address(0), &last.encode(), out));
     assert_eq!(pair.endpoints[1].leg_count(), 0);
 }
