--- a/examples/toy/main.rs
+++ b/examples/toy/main.rs
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-/// Serves a connection from the softswitch: reports the free circuits, answers set-ups and probes, and ends calls.
+/// Serves a connection from the softswitch: reports free circuits, answers set-ups and probes, and ends calls.
 fn serve_connection(stream: TcpStream, address: &str) -> Result<(), Box<dyn Error>> {
     let lines = BufReader::new(stream.try_clone()?);
     let stream = Arc::new(Mutex::new(stream));
--- a/tests/legs.rs
+++ b/tests/legs.rs
@@ -62,7 +62,8 @@
         self.inputs[side].extend(out.inputs);
     }
 
-    /// Delivers datagrams and fires timers until `condition` holds. False if nothing is left to do or after 120 s.
+    /// Delivers datagrams and fires timers until `condition` holds. Returns false if it does not hold within 120 s
+    /// or nothing is left to do.
     fn run_until(&mut self, condition: impl Fn(&Self) -> bool) -> bool {
         while !condition(self) {
             let arrival = self.in_transit.iter().enumerate().min_by_key(|(_, d)| d.0).map(|(i, d)| (d.0, i));
@@ -137,7 +138,7 @@
             });
         }
         pair.run_until(|p| p.count(0, is_ended) > 0);
-        // Whichever side ends the call, both endpoints remove their legs, and no delayed duplicate creates a new one.
+        // Whichever side ends the call, both endpoints remove their legs, and no delayed duplicate creates a leg.
         let idle =
             |p: &EndpointPair| p.in_transit.is_empty() && p.endpoints.iter().all(|e| e.leg_count() == 0);
         assert!(pair.run_until(idle), "seed {seed}: legs are left");
