--- a/tests/common/rng.rs
+++ b/tests/common/rng.rs
@@ -1,6 +1,7 @@
-//! The same numbers from the same seed, everywhere (splitmix64): for tests and examples of all packages.
+//! Deterministic pseudo-random numbers for the tests and examples of all packages.
 #![allow(dead_code)]
 
+/// SplitMix64 generator. It is constructed from a seed; the same seed always gives the same numbers.
 pub struct SplitMix64(pub u64);
 
 impl SplitMix64 {
@@ -11,6 +12,7 @@
         z ^ (z >> 31)
     }
 
+    /// A number less than `n`.
     pub fn below(&mut self, n: u64) -> u64 {
         self.next_u64() % n
     }
