--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,10 +1,9 @@
-//! One TCP connection without a thread of its own: it takes from the system and gives to it what can be had at
-//! once, and says what has come.
+//! A non-blocking TCP connection: it reads lines, and queues and writes messages.
 //!
-//! The house asks for small-stack threads. Two of them for each connection were measured: whoever shares a
-//! processor is stopped and continued many times a second, every thread is woken by each of these, and with 330
-//! threads that alone took up the processor time that there is. So the sockets are non-blocking ones and one
-//! thread waits for all of them; the standard library cannot do that, `mio` can.
+//! Connections have no threads of their own. With two small-stack threads per connection, a process that shares its
+//! processor is stopped and continued many times a second; each time every thread wakes up, and with 330 threads
+//! that alone used all of the available processor time. One thread polls all sockets instead, with `mio`, because
+//! the standard library has no poll.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, Read, Write};
@@ -18,128 +17,131 @@
 
 use super::jsonl::{LineSplitter, SplitLine};
 
-/// Stack of a thread that serves a socket; the deepest thing it does is to parse one bounded message.
-pub const STACK: usize = 128 * 1024;
-/// Bytes that may wait for a peer to read them. One that lets more pile up is cut off.
-const WAITING: usize = 256 * 1024;
-/// A peer that takes nothing for this long is cut off.
-const STALLED: Duration = Duration::from_secs(5);
-/// Reads from one connection before others have their turn.
-const TURN: usize = 4;
-
-/// How a connection ended.
+/// Stack size of a thread that serves a socket. The deepest recursion on it is the parsing of one message, which is
+/// bounded.
+pub const THREAD_STACK_BYTES: usize = 128 * 1024;
+/// Maximum number of unsent bytes; a connection with more is closed.
+const MAX_UNSENT_BYTES: usize = 256 * 1024;
+/// A connection whose remote end accepts no data for this long is closed.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of reads from one connection before the others are read.
+const MAX_READS: usize = 4;
+
+/// How the receiving side of a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    /// Closed in good order.
+pub enum EndReason {
+    /// Closed by the remote end.
     Closed,
-    /// Reset: the way broke, or the process at the other end died.
+    /// Reset: the network path broke, or the process at the remote end died.
     Reset,
-    /// Something came that cannot be used, or did not end in time. Nothing more is read.
-    Spoilt,
+    /// A line was unreadable or too long. Nothing more is read.
+    Corrupt,
 }
 
-/// What a turn of reading has led to.
+/// Result of reading from a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Received {
-    /// All that is there now.
-    All,
-    /// There is more.
+pub enum ReadOutcome {
+    /// All available data was read.
+    WouldBlock,
+    /// More data may be available.
     More,
-    /// The end.
-    Ended(Ending),
+    /// The connection has ended.
+    Ended(EndReason),
 }
 
-/// What a connection has waited for in vain.
+/// Timeout of a connection that has expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Late {
-    /// To come up.
-    Opening,
-    /// For the end of a line.
+pub enum ExpiredTimeout {
+    /// The connection was not established in time.
+    Connect,
+    /// A line did not end in time.
     Line,
-    /// For the peer to take what was sent.
-    Writing,
+    /// The remote end did not accept data in time.
+    Write,
 }
 
 /// A connection; dropping it closes it.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
-    /// Until when it may take to come up; `None` once it has.
-    opening: Option<SystemTime>,
+    /// When the attempt to connect fails; `None` once the connection is established.
+    connect_deadline: Option<SystemTime>,
     lines: LineSplitter,
-    /// When the line began that has not ended yet.
-    begun: Option<SystemTime>,
-    patience: Duration,
-    /// Nothing more is read.
-    deaf: bool,
+    /// When the first byte of the incomplete line was received, if there is one.
+    line_started: Option<SystemTime>,
+    line_timeout: Duration,
+    /// Nothing more is read from the socket.
+    read_closed: bool,
+    /// Queued messages, of which the first `unsent_start` bytes are written.
     unsent: Vec<u8>,
-    sent: usize,
-    /// Bytes written since the connection came up, where the messages end that are counted once they are
-    /// written whole, and how many were since somebody asked.
-    written: u64,
-    counted: VecDeque<u64>,
-    whole: u64,
-    /// Since when the peer takes nothing.
-    stalled: Option<SystemTime>,
+    unsent_start: usize,
+    /// Bytes written since the connection was established.
+    written_bytes: u64,
+    /// Positions, as a count of written bytes, at which the counted messages end.
+    counted_message_ends: VecDeque<u64>,
+    /// Counted messages completely written since the last `take_written_count`.
+    written_messages: u64,
+    /// Since when the remote end accepts no data.
+    write_blocked_since: Option<SystemTime>,
 }
 
 impl Connection {
-    fn new(stream: TcpStream, opening: Option<SystemTime>, patience: Duration) -> Self {
+    fn new(stream: TcpStream, connect_deadline: Option<SystemTime>, line_timeout: Duration) -> Self {
         Self {
             stream,
-            opening,
+            connect_deadline,
             lines: LineSplitter::default(),
-            begun: None,
-            patience,
-            deaf: false,
+            line_started: None,
+            line_timeout,
+            read_closed: false,
             unsent: Vec::new(),
-            sent: 0,
-            written: 0,
-            counted: VecDeque::new(),
-            whole: 0,
-            stalled: None,
+            unsent_start: 0,
+            written_bytes: 0,
+            counted_message_ends: VecDeque::new(),
+            written_messages: 0,
+            write_blocked_since: None,
         }
     }
 
-    /// One that was accepted. A line on it must end within this time of its first byte.
-    pub fn accepted(stream: TcpStream, patience: Duration) -> Self {
-        // One on which this cannot be set is gone already; the next read says so.
+    /// Wraps an accepted connection. A line must end within `line_timeout` of its first byte.
+    pub fn accepted(stream: TcpStream, line_timeout: Duration) -> Self {
+        // Fails only on a connection that is already gone; the next read reports that.
         let _ = stream.set_nodelay(true);
-        Self::new(stream, None, patience)
+        Self::new(stream, None, line_timeout)
     }
 
-    /// One that is being opened, until this time at most.
+    /// Starts to connect; the attempt may last until `deadline`.
     ///
     /// # Errors
-    /// If the system cannot even begin.
-    pub fn dial(address: SocketAddr, until: SystemTime, patience: Duration) -> io::Result<Self> {
-        Ok(Self::new(TcpStream::connect(address)?, Some(until), patience))
+    /// If the operating system cannot start the attempt.
+    pub fn connect(address: SocketAddr, deadline: SystemTime, line_timeout: Duration) -> io::Result<Self> {
+        Ok(Self::new(TcpStream::connect(address)?, Some(deadline), line_timeout))
     }
 
-    /// Has the poll watch it.
+    /// Registers the connection with the poll.
     ///
     /// # Errors
-    /// If the system cannot.
-    pub fn watch(&mut self, registry: &Registry, token: Token) -> io::Result<()> {
+    /// If the operating system rejects it.
+    pub fn register(&mut self, registry: &Registry, token: Token) -> io::Result<()> {
         registry.register(&mut self.stream, token, Interest::READABLE | Interest::WRITABLE)
     }
 
-    /// Whether it is still being opened.
-    pub fn is_opening(&self) -> bool {
-        self.opening.is_some()
+    /// Whether the connection is not established yet.
+    pub fn is_connecting(&self) -> bool {
+        self.connect_deadline.is_some()
     }
 
-    /// Looks whether it has come up; false if that cannot be told yet.
+    /// Checks whether the connection is established; false while the attempt lasts.
     ///
     /// # Errors
-    /// If it never will.
-    pub fn has_opened(&mut self) -> io::Result<bool> {
+    /// If the attempt has failed.
+    pub fn finish_connect(&mut self) -> io::Result<bool> {
         if let Some(error) = self.stream.take_error()? {
             return Err(error);
         }
         match self.stream.peer_addr() {
             Ok(_) => {
-                self.opening = None;
+                self.connect_deadline = None;
                 let _ = self.stream.set_nodelay(true);
                 Ok(true)
             }
@@ -148,138 +150,142 @@
         }
     }
 
-    /// Reads what is there and hands on each line with the time at which its last byte came, until `each` says
-    /// that nothing more is wanted.
-    pub fn receive(&mut self, mut each: impl FnMut(SplitLine, SystemTime) -> ControlFlow<()>) -> Received {
-        if self.deaf {
-            return Received::All;
+    /// Reads the available data and calls `each` for every line, with the time at which its last byte was received.
+    /// If `each` breaks off, the connection is treated as corrupt and nothing more is read.
+    pub fn read_lines(
+        &mut self,
+        mut each: impl FnMut(SplitLine, SystemTime) -> ControlFlow<()>,
+    ) -> ReadOutcome {
+        if self.read_closed {
+            return ReadOutcome::WouldBlock;
         }
         let mut buffer = [0; 4 * 1024];
-        for _ in 0..TURN {
+        for _ in 0..MAX_READS {
             let length = match self.stream.read(&mut buffer) {
-                Ok(0) => return Received::Ended(Ending::Closed),
+                Ok(0) => return ReadOutcome::Ended(EndReason::Closed),
                 Ok(length) => length,
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
-                Err(error) if error.kind() == ErrorKind::WouldBlock => return Received::All,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return ReadOutcome::WouldBlock,
                 Err(error) if error.kind() == ErrorKind::ConnectionReset => {
-                    return Received::Ended(Ending::Reset);
+                    return ReadOutcome::Ended(EndReason::Reset);
                 }
-                Err(_) => return Received::Ended(Ending::Closed),
+                Err(_) => return ReadOutcome::Ended(EndReason::Closed),
             };
             let now = SystemTime::now();
-            if self.lines.push(&buffer[..length], |cut| each(cut, now)).is_break() {
-                // What still comes is not even read: a flood is stopped by its own full buffers.
-                self.deaf = true;
-                return Received::Ended(Ending::Spoilt);
+            if self.lines.push(&buffer[..length], |line| each(line, now)).is_break() {
+                // Further data stays unread in the socket buffer, so TCP flow control stops a sender that floods.
+                self.read_closed = true;
+                return ReadOutcome::Ended(EndReason::Corrupt);
             }
-            if !self.lines.has_begun() {
-                self.begun = None;
-            } else if self.begun.is_none() || buffer[..length].contains(&b'\n') {
-                self.begun = Some(now);
+            if !self.lines.has_partial_line() {
+                self.line_started = None;
+            } else if self.line_started.is_none() || buffer[..length].contains(&b'\n') {
+                self.line_started = Some(now);
             }
         }
-        Received::More
+        ReadOutcome::More
     }
 
-    /// Takes a message to be sent; false if too much waits already.
-    pub fn send(&mut self, message: &[u8]) -> bool {
+    /// Queues a message; false if too many bytes are unsent.
+    pub fn queue(&mut self, message: &[u8]) -> bool {
         self.unsent.extend_from_slice(message);
-        self.unsent.len() - self.sent <= WAITING
+        self.unsent.len() - self.unsent_start <= MAX_UNSENT_BYTES
     }
 
-    /// The message that is taken next, of this length, counts once it is written whole.
-    pub fn count_next(&mut self, length: usize) {
-        self.counted.push_back(self.written + (self.unsent.len() - self.sent + length) as u64);
+    /// Marks the message that is queued next, of this length, to be counted once it is completely written.
+    pub fn count_next_message(&mut self, length: usize) {
+        self.counted_message_ends
+            .push_back(self.written_bytes + (self.unsent.len() - self.unsent_start + length) as u64);
     }
 
-    /// How many of those that count were written whole since the last time.
-    pub fn take_written(&mut self) -> u64 {
-        std::mem::take(&mut self.whole)
+    /// Number of counted messages that were completely written since the last call.
+    pub fn take_written_count(&mut self) -> u64 {
+        std::mem::take(&mut self.written_messages)
     }
 
-    /// Gives the system what it takes now. A connection that breaks at this is reported by its next read.
+    /// Writes queued bytes as far as the socket accepts them. The next read reports a connection that breaks here.
     pub fn flush(&mut self) {
-        while self.sent < self.unsent.len() && self.opening.is_none() {
-            match self.stream.write(&self.unsent[self.sent..]) {
+        while self.unsent_start < self.unsent.len() && self.connect_deadline.is_none() {
+            match self.stream.write(&self.unsent[self.unsent_start..]) {
                 Ok(length) => {
-                    self.sent += length;
-                    self.written += length as u64;
-                    while self.counted.front().is_some_and(|end| *end <= self.written) {
-                        self.counted.pop_front();
-                        self.whole += 1;
+                    self.unsent_start += length;
+                    self.written_bytes += length as u64;
+                    while self.counted_message_ends.front().is_some_and(|end| *end <= self.written_bytes) {
+                        self.counted_message_ends.pop_front();
+                        self.written_messages += 1;
                     }
-                    self.stalled = None;
+                    self.write_blocked_since = None;
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    self.stalled.get_or_insert_with(SystemTime::now);
+                    self.write_blocked_since.get_or_insert_with(SystemTime::now);
                     return;
                 }
                 Err(_) => break,
             }
         }
-        (self.unsent, self.sent, self.stalled) = (Vec::new(), 0, None);
+        (self.unsent, self.unsent_start, self.write_blocked_since) = (Vec::new(), 0, None);
     }
 
-    /// Whether a line has begun that has not ended.
-    pub fn has_begun(&self) -> bool {
-        self.lines.has_begun()
+    /// Whether an incomplete line has been received.
+    pub fn has_partial_line(&self) -> bool {
+        self.lines.has_partial_line()
     }
 
-    /// Whether all has been given to the system.
+    /// Whether all queued messages are written to the socket.
     pub fn is_flushed(&self) -> bool {
         self.unsent.is_empty()
     }
 
-    /// What it has waited for in vain by now.
-    pub fn late(&mut self, now: SystemTime) -> Option<Late> {
+    /// The timeout that has expired by now, if any.
+    pub fn expired_timeout(&mut self, now: SystemTime) -> Option<ExpiredTimeout> {
         let past = |since: Option<SystemTime>, limit: Duration| {
             since.is_some_and(|since| now.duration_since(since).is_ok_and(|passed| passed >= limit))
         };
-        if self.opening.is_some_and(|until| until <= now) {
-            Some(Late::Opening)
-        } else if past(self.stalled, STALLED) {
-            Some(Late::Writing)
-        } else if !self.deaf && past(self.begun, self.patience) {
-            self.deaf = true;
-            Some(Late::Line)
+        if self.connect_deadline.is_some_and(|deadline| deadline <= now) {
+            Some(ExpiredTimeout::Connect)
+        } else if past(self.write_blocked_since, WRITE_TIMEOUT) {
+            Some(ExpiredTimeout::Write)
+        } else if !self.read_closed && past(self.line_started, self.line_timeout) {
+            self.read_closed = true;
+            Some(ExpiredTimeout::Line)
         } else {
             None
         }
     }
 
-    /// Ends it now.
-    pub fn cut(&self) {
+    /// Shuts the connection down in both directions.
+    pub fn shutdown(&self) {
         // Fails only on a connection that is already gone.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
-    /// Whether something was sent on it after the peer had closed it. The peer's system answers such bytes
-    /// with a reset, which is the only sign of it.
-    pub fn is_unread(&self) -> bool {
+    /// Whether the remote end had closed the connection before it read everything that was sent. The remote system
+    /// answers such data with a reset, which is the only sign of it.
+    pub fn has_unread_data(&self) -> bool {
         matches!(self.stream.take_error(), Ok(Some(_)))
     }
 }
 
-/// Connections that their callers closed a moment ago: whether all was read shows a little later. No more than
-/// this many are kept for that, since they hold descriptors that no limit counts.
+/// Maximum number of connections kept after their callers closed them, to see whether everything was read. They are
+/// few because their file descriptors are not counted toward the limit of the process.
 pub const MAX_CLOSED_CONNECTIONS: usize = 32;
 
-/// Closed connections, oldest first, each with its id and until when it is kept.
+/// Connections closed by the remote end, oldest first, each with its id and the time until which it is kept.
 #[derive(Debug, Default)]
 pub struct ClosedConnections(VecDeque<(SystemTime, u64, Connection)>);
 
 impl ClosedConnections {
-    /// Keeps one more; the oldest makes room, and is given back if it went unread.
-    pub fn keep(&mut self, until: SystemTime, id: u64, connection: Connection) -> Option<u64> {
+    /// Adds a connection. If the list is full, the oldest one is dropped; its id is returned if it has unread data.
+    pub fn push(&mut self, until: SystemTime, id: u64, connection: Connection) -> Option<u64> {
         let full = self.0.len() >= MAX_CLOSED_CONNECTIONS;
-        let made_room = if full { self.pop() } else { None };
+        let evicted = if full { self.pop() } else { None };
         self.0.push_back((until, id, connection));
-        made_room
+        evicted
     }
 
-    /// Ids of those that were kept long enough and went unread.
-    pub fn unread(&mut self, now: SystemTime) -> Vec<u64> {
+    /// Drops the connections whose time is over and returns the ids of those with unread data.
+    pub fn take_unread(&mut self, now: SystemTime) -> Vec<u64> {
         let mut unread = Vec::new();
         while self.0.front().is_some_and(|(until, ..)| *until <= now) {
             unread.extend(self.pop());
@@ -288,24 +294,24 @@
     }
 
     fn pop(&mut self) -> Option<u64> {
-        self.0.pop_front().filter(|(.., connection)| connection.is_unread()).map(|(_, id, _)| id)
+        self.0.pop_front().filter(|(.., connection)| connection.has_unread_data()).map(|(_, id, _)| id)
     }
 
-    /// How many are kept.
+    /// Number of connections.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether none is kept.
+    /// Whether there are no connections.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 }
 
-/// Starts a thread on a small stack.
+/// Starts a thread with a small stack.
 ///
 /// # Errors
-/// If the system has none left.
+/// If the operating system cannot create a thread.
 pub fn spawn_small_thread(name: &str, run: impl FnOnce() + Send + 'static) -> io::Result<JoinHandle<()>> {
-    Builder::new().name(name.to_owned()).stack_size(STACK).spawn(run)
+    Builder::new().name(name.to_owned()).stack_size(THREAD_STACK_BYTES).spawn(run)
 }
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -1,4 +1,4 @@
-//! The driver: owns every connection and carries out what the reducer asks for.
+//! The driver: owns all connections, turns received data into inputs and performs the effects of the reducer.
 
 use std::collections::{HashMap, VecDeque};
 use std::io::ErrorKind;
@@ -13,7 +13,7 @@
 use swiftlb_record::{Record, Recorder};
 
 use super::LoopMessage;
-use super::connection::{ClosedConnections, Connection, Ending, Late, Received};
+use super::connection::{ClosedConnections, Connection, EndReason, ExpiredTimeout, ReadOutcome};
 use super::dns::ListSource;
 use super::handover::Handover;
 use super::jsonl::{self, CallerLine, ExchangeLine, LineError, SplitLine};
@@ -25,46 +25,47 @@
 use crate::interface::Number;
 use crate::ops::{OperatorReply, OperatorRequest};
 
-/// The one link of all IAX2 callers; connections count on from it.
-pub(super) const HANDSETS: CallerConnId = 0;
-/// What the poll calls the waker and the listener.
+/// The caller connection that stands for all IAX2 callers. TCP connections of callers have the ids after it.
+pub(super) const IAX2_CONN: CallerConnId = 0;
+/// Poll token of the waker; the next one is that of the listener for callers.
 pub(super) const WAKER: Token = Token(0);
 const LISTENER: Token = Token(1);
-/// A line from a caller must end within this time of its first byte, and one from an exchange: callers may be
-/// on poor links, exchanges are not, and what waits for an answer there has no time to lose.
-const CALLER_LINE: Duration = Duration::from_millis(2_500);
-const EXCHANGE_LINE: Duration = Duration::from_secs(1);
-/// Connections that are accepted before others have their turn.
-const ACCEPTS: usize = 16;
-/// Time between two looks at what connections wait for.
-const SWEEP: Duration = Duration::from_millis(50);
-/// Time before the next try to accept where the system has nothing left for a connection.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
-/// How long the peer's reset may take to come back: a round trip on a poor link, and well within the second in
-/// which a release has to be sent.
-const ECHO: Duration = Duration::from_millis(300);
-/// How long a connection that is being closed may take for its last words.
-const LAST_WORDS: Duration = Duration::from_secs(1);
-/// How long the last records may take to be written at the end.
-const LAST_RECORDS: Duration = Duration::from_secs(1);
-/// How long the last frames on IAX2 legs are repeated at the end, if nobody acknowledges them.
-const LAST_REPEATS: Duration = Duration::from_secs(1);
-
-/// The IAX2 side: one socket and the legs on it.
-pub(super) struct Handsets {
-    pub(super) iax2: Iax2Config,
+/// Time from the first byte of a line to its end, on a caller connection. Callers may be on poor links.
+const CALLER_LINE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// The same on a connection to an exchange. It is shorter: exchanges are on good links, and calls with a deadline
+/// wait for the answers on these connections.
+const EXCHANGE_LINE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of connections accepted before other events are handled.
+const MAX_ACCEPTS: usize = 16;
+/// Time between two checks of the connections for expired timeouts.
+const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time before the next accept when the operating system has no resources for another connection.
+const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+/// Time for which a closed connection is kept to see whether the remote end answers unread data with a reset: a
+/// round trip on a poor link, and well within the second in which a release has to be sent.
+const CLOSED_CONN_KEEP: Duration = Duration::from_millis(300);
+/// Time for writing the messages still queued on a connection that is being closed.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time for writing the remaining records before the process exits.
+const FINAL_RECORDS_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time for which unacknowledged frames on IAX2 legs are retransmitted before the process exits.
+const FINAL_RETRANSMIT_TIME: Duration = Duration::from_secs(1);
+
+/// The IAX2 front: its configuration, its legs and the socket that they share.
+pub(super) struct Iax2Front {
+    pub(super) config: Iax2Config,
     pub(super) endpoint: Endpoint,
     pub(super) socket: Arc<UdpSocket>,
 }
 
-/// Whose connection it is, told by the lowest bit of its token.
+/// Id of a connection. The lowest bit of its poll token tells caller connections from exchange connections.
 #[derive(Clone, Copy)]
-enum Whose {
+enum ConnId {
     Caller(CallerConnId),
     Exchange(ExchangeConnId),
 }
 
-impl Whose {
+impl ConnId {
     fn token(self) -> Token {
         Token(match self {
             Self::Caller(caller_conn) => 2 * (caller_conn as usize + 1),
@@ -72,249 +73,257 @@
         })
     }
 
-    fn of(token: Token) -> Self {
+    fn from_token(token: Token) -> Self {
         let id = (token.0 / 2).saturating_sub(1) as u64;
         if token.0.is_multiple_of(2) { Self::Caller(id) } else { Self::Exchange(id) }
     }
 }
 
-/// Owns every connection, and carries out what the reducer asks for.
+/// Owns all connections and performs the effects of the reducer.
 pub(super) struct Driver {
-    report: Arc<[String]>,
+    report_field_names: Arc<[String]>,
     connect_timeout: Duration,
     source: Sender<ListSource>,
     registry: Registry,
     listener: TcpListener,
-    /// When to try to accept again, if not all that wait have been accepted.
-    accept_at: Option<SystemTime>,
-    links: HashMap<CallerConnId, Connection>,
-    conns: HashMap<ExchangeConnId, Connection>,
-    /// Connections that are closed once their last words are written, and until when they have for that.
+    /// When to accept again, if connections may be left in the backlog.
+    accept_retry_at: Option<SystemTime>,
+    caller_conns: HashMap<CallerConnId, Connection>,
+    exchange_conns: HashMap<ExchangeConnId, Connection>,
+    /// Connections that are closed as soon as their queued messages are written, or at this time at the latest.
     closing: Vec<(SystemTime, Connection)>,
     closed_connections: ClosedConnections,
-    /// Those with messages to be written, and those with more to be read.
+    /// Connections with queued messages.
     unsent: Vec<Token>,
-    ready: Vec<Token>,
-    sweep_at: SystemTime,
-    /// Whether connections from callers are taken.
+    /// Connections with more data to read.
+    readable: Vec<Token>,
+    timeout_check_at: SystemTime,
+    /// Whether connections from callers are accepted.
     accepting: bool,
-    door: Option<OperatorServer>,
+    operator_server: Option<OperatorServer>,
     handover: Option<Handover>,
-    handsets: Option<Handsets>,
+    iax2_front: Option<Iax2Front>,
     recorder: Option<(Recorder, SkewedClock)>,
-    last_link: CallerConnId,
-    /// What the reducer is to be told next.
+    last_caller_conn: CallerConnId,
+    /// Inputs for the reducer, oldest first.
     inputs: VecDeque<Input>,
-    /// Set once all is answered: when to end at the latest.
-    done: Option<SystemTime>,
+    /// Set when every call is answered: when the process exits at the latest.
+    exit_deadline: Option<SystemTime>,
 }
 
 impl Driver {
     pub(super) fn new(
         config: &Config,
         mut listener: TcpListener,
-        (door, handover): (Option<OperatorServer>, Option<Handover>),
+        (operator_server, handover): (Option<OperatorServer>, Option<Handover>),
         registry: Registry,
         source: Sender<ListSource>,
-        handsets: Option<Handsets>,
+        iax2_front: Option<Iax2Front>,
         inputs: VecDeque<Input>,
     ) -> std::io::Result<Self> {
         registry.register(&mut listener, LISTENER, Interest::READABLE)?;
         Ok(Self {
-            report: config.report_field_names.clone().into(),
+            report_field_names: config.report_field_names.clone().into(),
             connect_timeout: config.connect_timeout,
             source,
             registry,
             listener,
-            accept_at: None,
-            links: HashMap::new(),
-            conns: HashMap::new(),
+            accept_retry_at: None,
+            caller_conns: HashMap::new(),
+            exchange_conns: HashMap::new(),
             closing: Vec::new(),
             closed_connections: ClosedConnections::default(),
             unsent: Vec::new(),
-            ready: Vec::new(),
-            sweep_at: SystemTime::now(),
+            readable: Vec::new(),
+            timeout_check_at: SystemTime::now(),
             accepting: true,
-            door,
+            operator_server,
             handover,
-            handsets,
+            iax2_front,
             recorder: None,
-            last_link: HANDSETS,
+            last_caller_conn: IAX2_CONN,
             inputs,
-            done: None,
+            exit_deadline: None,
         })
     }
 
-    /// Keeps records from now on.
-    pub(super) fn record(&mut self, recorder: Recorder, clock: SkewedClock) {
+    /// Starts to write records; their times are those of this clock.
+    pub(super) fn set_recorder(&mut self, recorder: Recorder, clock: SkewedClock) {
         self.recorder = Some((recorder, clock));
     }
 
-    /// What the reducer is to be told next.
+    /// Takes the next input for the reducer.
     pub(super) fn next_input(&mut self) -> Option<Input> {
         self.inputs.pop_front()
     }
 
-    /// Takes a message of another thread.
-    pub(super) fn admit(&mut self, message: LoopMessage) {
+    /// Handles a message from another thread.
+    pub(super) fn handle_message(&mut self, message: LoopMessage) {
         match message {
             LoopMessage::Input(input) => self.inputs.push_back(input),
             LoopMessage::Datagram(from, bytes, received) => {
-                self.on_handsets(|h, out| h.endpoint.receive(received, from, &bytes, out));
+                self.with_iax2(|iax2, out| iax2.endpoint.receive(received, from, &bytes, out));
             }
         }
     }
 
-    /// When it wants to be woken: for IAX2 legs, for what connections wait for, at the end.
-    pub(super) fn next_wake(&self) -> Option<SystemTime> {
-        let legs = self.handsets.as_ref().and_then(|h| h.endpoint.next_timeout());
-        let ready = (!self.ready.is_empty()).then_some(SystemTime::UNIX_EPOCH);
-        let none = self.links.is_empty() && self.conns.is_empty() && self.closing.is_empty();
-        let sweep = (!none || !self.closed_connections.is_empty()).then_some(self.sweep_at);
-        let door = self.door.as_ref().and_then(OperatorServer::next_wake);
-        [legs, self.done, self.accept_at, ready, sweep, door].into_iter().flatten().min()
+    /// When [`Self::handle_timeouts`] has to run next.
+    pub(super) fn next_timeout(&self) -> Option<SystemTime> {
+        let iax2_timeout = self.iax2_front.as_ref().and_then(|iax2| iax2.endpoint.next_timeout());
+        let readable = (!self.readable.is_empty()).then_some(SystemTime::UNIX_EPOCH);
+        let idle = self.caller_conns.is_empty() && self.exchange_conns.is_empty() && self.closing.is_empty();
+        let timeout_check = (!idle || !self.closed_connections.is_empty()).then_some(self.timeout_check_at);
+        let operator_server = self.operator_server.as_ref().and_then(OperatorServer::next_timeout);
+        [iax2_timeout, self.exit_deadline, self.accept_retry_at, readable, timeout_check, operator_server]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
-    /// Whether the program may end: all is answered, and IAX2 peers have it or had the time to ask again.
+    /// Whether the process may exit: every call is answered, and IAX2 peers have acknowledged the last frames or
+    /// the time for retransmissions is over.
     pub(super) fn is_done(&self) -> bool {
-        let heard = self.handsets.as_ref().is_none_or(|h| h.endpoint.all_acknowledged());
-        self.done.is_some_and(|until| heard || until <= SystemTime::now())
+        let all_acknowledged = self.iax2_front.as_ref().is_none_or(|iax2| iax2.endpoint.all_acknowledged());
+        self.exit_deadline.is_some_and(|deadline| all_acknowledged || deadline <= SystemTime::now())
     }
 
-    /// Writes what is still to be written to connections, for this long at most, and then what is recorded.
-    pub(super) fn finish(&mut self, limit: Duration) {
-        self.write_last_words(limit);
-        if self.recorder.take().is_some_and(|(recorder, _)| !recorder.stop(LAST_RECORDS)) {
-            tracing::warn!("the last records are not written");
+    /// Writes all queued messages, for at most `limit`, and then the remaining records.
+    pub(super) fn flush_and_stop(&mut self, limit: Duration) {
+        self.flush_all(limit);
+        if self.recorder.take().is_some_and(|(recorder, _)| !recorder.stop(FINAL_RECORDS_TIMEOUT)) {
+            tracing::warn!("time-out while writing the last records; some are lost");
         }
     }
 
-    fn write_last_words(&mut self, limit: Duration) {
-        let until = SystemTime::now() + limit;
+    fn flush_all(&mut self, limit: Duration) {
+        let deadline = SystemTime::now() + limit;
         loop {
-            let all = self.links.values_mut().chain(self.conns.values_mut());
+            let all = self.caller_conns.values_mut().chain(self.exchange_conns.values_mut());
             let all = all.chain(self.closing.iter_mut().map(|(_, connection)| connection));
-            let mut waits = false;
+            let mut unfinished = false;
             for connection in all {
                 connection.flush();
-                waits |= !connection.is_flushed() && !connection.is_opening();
+                unfinished |= !connection.is_flushed() && !connection.is_connecting();
             }
-            if !waits || SystemTime::now() >= until {
+            if !unfinished || SystemTime::now() >= deadline {
                 return;
             }
             std::thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// Does what is due.
-    pub(super) fn wake(&mut self) {
+    /// Handles all timeouts that have expired and wakes the reducer.
+    pub(super) fn handle_timeouts(&mut self) {
         let now = SystemTime::now();
-        self.on_handsets(|h, out| h.endpoint.handle_timeout(now, out));
-        self.on_door(|door, _, _| door.sweep(now));
-        if self.accept_at.is_some_and(|at| at <= now) {
-            self.accept_at = None;
+        self.with_iax2(|iax2, out| iax2.endpoint.handle_timeout(now, out));
+        self.with_operator_server(|operator_server, _, _| operator_server.close_expired(now));
+        if self.accept_retry_at.is_some_and(|at| at <= now) {
+            self.accept_retry_at = None;
             self.accept();
         }
-        if self.sweep_at <= now {
-            self.sweep_at = now + SWEEP;
-            self.sweep(now);
+        if self.timeout_check_at <= now {
+            self.timeout_check_at = now + TIMEOUT_CHECK_INTERVAL;
+            self.check_timeouts(now);
         }
         self.inputs.push_back(Input::Wake);
     }
 
-    /// Gives the system what it takes of all that was said since the last time.
+    /// Writes the messages queued since the last call, as far as the sockets accept them.
     pub(super) fn flush(&mut self) {
         for token in std::mem::take(&mut self.unsent) {
-            let whose = Whose::of(token);
-            if let Some(connection) = self.connection(whose) {
+            let conn_id = ConnId::from_token(token);
+            if let Some(connection) = self.connection(conn_id) {
                 connection.flush();
-                let attempts = connection.take_written();
-                self.note_written(attempts);
+                let attempts = connection.take_written_count();
+                self.report_written(attempts);
             }
         }
     }
 
-    /// Connections of which more can be read. One that is read now comes back for the next turn, so that the
-    /// poll has its say between.
-    pub(super) fn take_ready(&mut self) -> Vec<Token> {
-        std::mem::take(&mut self.ready)
+    /// Takes the connections with more data to read. A connection that still has data after one read is listed
+    /// again for the next iteration of the loop, so that the poll runs in between.
+    pub(super) fn take_readable(&mut self) -> Vec<Token> {
+        std::mem::take(&mut self.readable)
     }
 
-    fn connection(&mut self, whose: Whose) -> Option<&mut Connection> {
-        match whose {
-            Whose::Caller(caller_conn) => self.links.get_mut(&caller_conn),
-            Whose::Exchange(exchange_conn) => self.conns.get_mut(&exchange_conn),
+    fn connection(&mut self, conn_id: ConnId) -> Option<&mut Connection> {
+        match conn_id {
+            ConnId::Caller(caller_conn) => self.caller_conns.get_mut(&caller_conn),
+            ConnId::Exchange(exchange_conn) => self.exchange_conns.get_mut(&exchange_conn),
         }
     }
 
-    /// The poll has something to say.
-    pub(super) fn on_event(&mut self, token: Token) {
+    /// Handles an event of the poll.
+    pub(super) fn handle_event(&mut self, token: Token) {
         if OperatorServer::owns(token) {
-            return self.on_door(|door, registry, orders| door.on_event(token, registry, orders));
+            return self.with_operator_server(|operator_server, registry, requests| {
+                operator_server.handle_event(token, registry, requests)
+            });
         }
         if Handover::owns(token) {
-            return self.on_handover(|handover, registry, inputs| handover.on_event(token, registry, inputs));
+            return self
+                .with_handover(|handover, registry, inputs| handover.handle_event(token, registry, inputs));
         }
-        match (token, Whose::of(token)) {
+        match (token, ConnId::from_token(token)) {
             (WAKER, _) => {}
             (LISTENER, _) => self.accept(),
-            (_, Whose::Caller(caller_conn)) => self.read_caller(caller_conn),
-            (_, Whose::Exchange(exchange_conn)) => self.read_exchange(exchange_conn),
+            (_, ConnId::Caller(caller_conn)) => self.read_caller(caller_conn),
+            (_, ConnId::Exchange(exchange_conn)) => self.read_exchange(exchange_conn),
         }
     }
 
-    /// Works on the operators' side and queues what it has for the reducer.
-    fn on_door(
+    /// Runs `work` on the operators' server and queues the requests that it returns.
+    fn with_operator_server(
         &mut self,
         work: impl FnOnce(&mut OperatorServer, &Registry, &mut Vec<(RequestId, OperatorRequest)>),
     ) {
-        let Some(door) = &mut self.door else { return };
-        let mut orders = Vec::new();
-        work(door, &self.registry, &mut orders);
+        let Some(operator_server) = &mut self.operator_server else { return };
+        let mut requests = Vec::new();
+        work(operator_server, &self.registry, &mut requests);
         self.inputs.extend(
-            orders.into_iter().map(|(request_id, request)| Input::OperatorRequest { request_id, request }),
+            requests.into_iter().map(|(request_id, request)| Input::OperatorRequest { request_id, request }),
         );
     }
 
-    /// Works on the side of the other process of this softswitch.
-    fn on_handover(&mut self, work: impl FnOnce(&mut Handover, &Registry, &mut VecDeque<Input>)) {
+    /// Runs `work` on the connection to the sibling process.
+    fn with_handover(&mut self, work: impl FnOnce(&mut Handover, &Registry, &mut VecDeque<Input>)) {
         if let Some(handover) = &mut self.handover {
             work(handover, &self.registry, &mut self.inputs);
         }
     }
 
-    /// Takes connections from callers, or leaves them to the other process that listens on the same socket.
-    fn accept_or_not(&mut self, accepting: bool) {
+    /// Accepts connections from callers, or leaves them to the sibling process that listens on the same socket.
+    fn set_accepting(&mut self, accepting: bool) {
         if std::mem::replace(&mut self.accepting, accepting) == accepting {
             return;
         }
-        let watched = if accepting {
+        let result = if accepting {
             self.registry.register(&mut self.listener, LISTENER, Interest::READABLE)
         } else {
-            self.accept_at = None;
+            self.accept_retry_at = None;
             self.registry.deregister(&mut self.listener)
         };
-        if let Err(error) = watched {
-            tracing::error!(%error, "listening socket");
+        if let Err(error) = result {
+            tracing::error!(%error, "cannot start or stop polling the listening socket for callers");
         }
     }
 
-    fn answer_operator(&mut self, ticket: RequestId, reply: &OperatorReply) {
-        self.on_door(|door, _, _| door.answer(ticket, reply));
+    fn reply_to_operator(&mut self, request_id: RequestId, reply: &OperatorReply) {
+        self.with_operator_server(|operator_server, _, _| operator_server.reply(request_id, reply));
     }
 
     fn accept(&mut self) {
         if !self.accepting {
             return;
         }
-        for _ in 0..ACCEPTS {
+        for _ in 0..MAX_ACCEPTS {
             match self.listener.accept() {
                 Ok((stream, _)) => {
-                    self.last_link += 1;
-                    let caller_conn = self.last_link;
-                    let mut connection = Connection::accepted(stream, CALLER_LINE);
-                    if connection.watch(&self.registry, Whose::Caller(caller_conn).token()).is_ok() {
-                        self.links.insert(caller_conn, connection);
+                    self.last_caller_conn += 1;
+                    let caller_conn = self.last_caller_conn;
+                    let mut connection = Connection::accepted(stream, CALLER_LINE_TIMEOUT);
+                    if connection.register(&self.registry, ConnId::Caller(caller_conn).token()).is_ok() {
+                        self.caller_conns.insert(caller_conn, connection);
                         self.inputs
                             .push_back(Input::CallerConnected { caller_conn, front: Front::JsonLines });
                     }
@@ -323,23 +332,23 @@
                 Err(error)
                     if matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
                 Err(error) => {
-                    // Out of descriptors, most likely: those that are open must end first.
-                    tracing::warn!(%error, "accept");
-                    self.accept_at = Some(SystemTime::now() + ACCEPT_AGAIN);
+                    // Most likely out of file descriptors: other connections have to close first.
+                    tracing::warn!(%error, "cannot accept a connection from a caller; retrying in 20 ms");
+                    self.accept_retry_at = Some(SystemTime::now() + ACCEPT_RETRY);
                     return;
                 }
             }
         }
-        self.accept_at = Some(SystemTime::now());
+        self.accept_retry_at = Some(SystemTime::now());
     }
 
     fn read_caller(&mut self, caller_conn: CallerConnId) {
-        let Some(connection) = self.links.get_mut(&caller_conn) else { return };
+        let Some(connection) = self.caller_conns.get_mut(&caller_conn) else { return };
         connection.flush();
         let inputs = &mut self.inputs;
-        let received = connection.receive(|cut, received| {
-            inputs.push_back(match &cut {
-                SplitLine::Complete(line) => match jsonl::parse_caller_line(line, received) {
+        let read = connection.read_lines(|line, received| {
+            inputs.push_back(match &line {
+                SplitLine::Complete(bytes) => match jsonl::parse_caller_line(bytes, received) {
                     Ok(CallerLine::SetUp(call, setup)) => Input::SetUp { caller_conn, call, setup },
                     Ok(CallerLine::Stop(call, cause)) => Input::HangUp { caller_conn, call, cause },
                     Ok(CallerLine::Check(call)) => Input::HealthCheck { caller_conn, call },
@@ -347,7 +356,7 @@
                     Err(LineError::Malformed(call)) => Input::MalformedSetUp { caller_conn, call },
                     Err(LineError::Unreadable) => return ControlFlow::Break(()),
                 },
-                // Its end may be far away, and nothing behind it is worth the wait.
+                // The end of the line may never come, so the rest of the connection is not read.
                 SplitLine::TooLong(start) => {
                     inputs.extend(
                         jsonl::find_call_uid(start).map(|call| Input::MalformedSetUp { caller_conn, call }),
@@ -357,55 +366,57 @@
             });
             ControlFlow::Continue(())
         });
-        match received {
-            Received::All => {}
-            Received::More => self.ready.push(Whose::Caller(caller_conn).token()),
-            // The reducer answers what is open on it, and then has it closed.
-            Received::Ended(Ending::Spoilt) => {
+        match read {
+            ReadOutcome::WouldBlock => {}
+            ReadOutcome::More => self.readable.push(ConnId::Caller(caller_conn).token()),
+            // The reducer answers the open calls of the connection and then closes it.
+            ReadOutcome::Ended(EndReason::Corrupt) => {
                 self.inputs.push_back(Input::CallerStreamCorrupt { caller_conn })
             }
-            Received::Ended(ending) => {
+            ReadOutcome::Ended(reason) => {
                 self.inputs.push_back(Input::CallerDisconnected { caller_conn });
-                if ending == Ending::Reset {
+                if reason == EndReason::Reset {
                     self.inputs.push_back(Input::CallerMessagesUnread { caller_conn });
-                    self.links.remove(&caller_conn);
-                } else if let Some(connection) = self.links.remove(&caller_conn) {
-                    let unheard =
-                        self.closed_connections.keep(SystemTime::now() + ECHO, caller_conn, connection);
-                    self.inputs
-                        .extend(unheard.map(|caller_conn| Input::CallerMessagesUnread { caller_conn }));
+                    self.caller_conns.remove(&caller_conn);
+                } else if let Some(connection) = self.caller_conns.remove(&caller_conn) {
+                    let unread = self.closed_connections.push(
+                        SystemTime::now() + CLOSED_CONN_KEEP,
+                        caller_conn,
+                        connection,
+                    );
+                    self.inputs.extend(unread.map(|caller_conn| Input::CallerMessagesUnread { caller_conn }));
                 }
             }
         }
     }
 
     fn read_exchange(&mut self, exchange_conn: ExchangeConnId) {
-        let Some(connection) = self.conns.get_mut(&exchange_conn) else { return };
-        if connection.is_opening() {
-            match connection.has_opened() {
+        let Some(connection) = self.exchange_conns.get_mut(&exchange_conn) else { return };
+        if connection.is_connecting() {
+            match connection.finish_connect() {
                 Ok(true) => {
                     self.inputs.push_back(Input::ExchangeConnected { exchange_conn, carries_calls: false })
                 }
                 Ok(false) => return,
                 Err(error) => {
                     let refused = error.kind() == ErrorKind::ConnectionRefused;
-                    self.conns.remove(&exchange_conn);
+                    self.exchange_conns.remove(&exchange_conn);
                     self.inputs.push_back(Input::ExchangeConnectFailed { exchange_conn, refused });
                     return;
                 }
             }
         }
         connection.flush();
-        let attempts = connection.take_written();
-        self.note_written(attempts);
-        let Some(connection) = self.conns.get_mut(&exchange_conn) else { return };
-        let (inputs, report) = (&mut self.inputs, &self.report);
-        let received = connection.receive(|cut, _| {
-            let read = match &cut {
-                SplitLine::Complete(line) => jsonl::parse_exchange_line(line, report),
+        let attempts = connection.take_written_count();
+        self.report_written(attempts);
+        let Some(connection) = self.exchange_conns.get_mut(&exchange_conn) else { return };
+        let (inputs, names) = (&mut self.inputs, &self.report_field_names);
+        let read = connection.read_lines(|line, _| {
+            let parsed = match &line {
+                SplitLine::Complete(bytes) => jsonl::parse_exchange_line(bytes, names),
                 SplitLine::TooLong(_) => Err(LineError::Unreadable),
             };
-            inputs.push_back(match read {
+            inputs.push_back(match parsed {
                 Ok(ExchangeLine::Answered(call, description)) => {
                     Input::Answered { exchange_conn, call, description }
                 }
@@ -417,132 +428,140 @@
                     Input::ProbeResult { exchange_conn, passed, report }
                 }
                 Ok(ExchangeLine::Ignored) => Input::ExchangeActivity { exchange_conn },
-                // After something that cannot be read nothing that follows on the same connection counts: the
-                // calls on it would wait for answers that never come.
+                // The connection is dropped after an unreadable line: the line may have been an answer, and its
+                // call would wait for it in vain.
                 Err(_) => return ControlFlow::Break(()),
             });
             ControlFlow::Continue(())
         });
-        match received {
-            Received::All => {}
-            Received::More => self.ready.push(Whose::Exchange(exchange_conn).token()),
-            Received::Ended(_) => self.lose_exchange(exchange_conn),
+        match read {
+            ReadOutcome::WouldBlock => {}
+            ReadOutcome::More => self.readable.push(ConnId::Exchange(exchange_conn).token()),
+            ReadOutcome::Ended(_) => self.drop_exchange_conn(exchange_conn),
         }
     }
 
-    fn lose_exchange(&mut self, exchange_conn: ExchangeConnId) {
-        if let Some(connection) = self.conns.remove(&exchange_conn) {
-            connection.cut();
+    fn drop_exchange_conn(&mut self, exchange_conn: ExchangeConnId) {
+        if let Some(connection) = self.exchange_conns.remove(&exchange_conn) {
+            connection.shutdown();
             self.inputs.push_back(Input::ExchangeDisconnected { exchange_conn });
         }
     }
 
-    /// Ends what has waited in vain, and what is closing.
-    fn sweep(&mut self, now: SystemTime) {
-        let late = |(id, connection): (&u64, &mut Connection)| Some((*id, connection.late(now)?));
-        let links: Vec<_> = self.links.iter_mut().filter_map(late).collect();
-        let conns: Vec<_> = self.conns.iter_mut().filter_map(late).collect();
-        for (caller_conn, late) in links {
-            if late == Late::Line {
+    /// Closes connections whose timeout has expired, and those whose last messages are written.
+    fn check_timeouts(&mut self, now: SystemTime) {
+        let expired =
+            |(id, connection): (&u64, &mut Connection)| Some((*id, connection.expired_timeout(now)?));
+        let caller_conns: Vec<_> = self.caller_conns.iter_mut().filter_map(expired).collect();
+        let exchange_conns: Vec<_> = self.exchange_conns.iter_mut().filter_map(expired).collect();
+        for (caller_conn, expired) in caller_conns {
+            if expired == ExpiredTimeout::Line {
                 self.inputs.push_back(Input::CallerStreamCorrupt { caller_conn });
             } else {
-                self.links.remove(&caller_conn);
+                self.caller_conns.remove(&caller_conn);
                 self.inputs.push_back(Input::CallerDisconnected { caller_conn });
             }
         }
-        for (exchange_conn, late) in conns {
-            if late == Late::Opening {
-                self.conns.remove(&exchange_conn);
+        for (exchange_conn, expired) in exchange_conns {
+            if expired == ExpiredTimeout::Connect {
+                self.exchange_conns.remove(&exchange_conn);
                 self.inputs.push_back(Input::ExchangeConnectFailed { exchange_conn, refused: false });
             } else {
-                self.lose_exchange(exchange_conn);
+                self.drop_exchange_conn(exchange_conn);
             }
         }
-        self.closing.retain_mut(|(until, connection)| {
+        self.closing.retain_mut(|(deadline, connection)| {
             connection.flush();
-            let keep = !connection.is_flushed() && *until > now;
+            let keep = !connection.is_flushed() && *deadline > now;
             if !keep {
-                connection.cut();
+                connection.shutdown();
             }
             keep
         });
-        let unheard = self.closed_connections.unread(now);
-        self.inputs
-            .extend(unheard.into_iter().map(|caller_conn| Input::CallerMessagesUnread { caller_conn }));
+        let unread = self.closed_connections.take_unread(now);
+        self.inputs.extend(unread.into_iter().map(|caller_conn| Input::CallerMessagesUnread { caller_conn }));
     }
 
-    /// Works on the IAX2 side, sends its datagrams and queues what it has for the reducer.
-    fn on_handsets(&mut self, work: impl FnOnce(&mut Handsets, &mut Output)) {
-        let Some(handsets) = &mut self.handsets else { return };
+    /// Runs `work` on the IAX2 front, sends its datagrams and queues its inputs.
+    fn with_iax2(&mut self, work: impl FnOnce(&mut Iax2Front, &mut Output)) {
+        let Some(iax2_front) = &mut self.iax2_front else { return };
         let mut out = Output::default();
-        work(handsets, &mut out);
+        work(iax2_front, &mut out);
         for (to, bytes) in out.datagrams {
-            // A datagram that cannot be sent is a lost one: the leg repeats it.
-            let _ = handsets.socket.send_to(&bytes, to);
+            // A datagram that cannot be sent counts as lost: the leg retransmits it.
+            let _ = iax2_front.socket.send_to(&bytes, to);
         }
         self.inputs.extend(out.inputs);
     }
 
-    /// The IAX2 side can be had at last.
-    pub(super) fn begin_handsets(&mut self, handsets: Handsets) {
-        self.handsets = Some(handsets);
-        self.inputs.push_back(Input::CallerConnected { caller_conn: HANDSETS, front: Front::Iax2 });
+    /// Starts the IAX2 front after its address has become free.
+    pub(super) fn start_iax2(&mut self, iax2_front: Iax2Front) {
+        self.iax2_front = Some(iax2_front);
+        self.inputs.push_back(Input::CallerConnected { caller_conn: IAX2_CONN, front: Front::Iax2 });
     }
 
-    /// Whether a way to an exchange goes over IAX2.
-    fn speaks_iax2(&self, number: Number) -> bool {
-        self.handsets.as_ref().is_some_and(|h| h.iax2.is_iax2_exchange(number))
+    /// Whether the exchange with this number is reached by IAX2.
+    fn uses_iax2(&self, number: Number) -> bool {
+        self.iax2_front.as_ref().is_some_and(|iax2| iax2.config.is_iax2_exchange(number))
     }
 
-    /// Carries out what the reducer asks for.
+    /// Performs an effect of the reducer.
     pub(super) fn perform(&mut self, effect: Effect) {
         match effect {
-            Effect::ToCaller { caller_conn: HANDSETS, call, message } => {
-                self.on_handsets(|h, out| h.endpoint.send_to_caller(SystemTime::now(), call, &message, out));
+            Effect::ToCaller { caller_conn: IAX2_CONN, call, message } => {
+                self.with_iax2(|iax2, out| {
+                    iax2.endpoint.send_to_caller(SystemTime::now(), call, &message, out)
+                });
             }
             Effect::ToCaller { caller_conn, call, message } => {
-                self.say(Whose::Caller(caller_conn), &jsonl::format_caller_message(call, &message));
+                self.send(ConnId::Caller(caller_conn), &jsonl::format_caller_message(call, &message));
             }
             Effect::ToExchange { exchange_conn, call, message } => {
-                self.say_to_exchange(exchange_conn, call, &message)
+                self.send_to_exchange(exchange_conn, call, &message)
             }
-            Effect::ToSibling(message) => self.on_handover(|handover, registry, inputs| {
-                handover.say(&message, registry, inputs);
+            Effect::ToSibling(message) => self.with_handover(|handover, registry, inputs| {
+                handover.send(&message, registry, inputs);
             }),
-            Effect::Accept(accepting) => self.accept_or_not(accepting),
-            Effect::ToOperator { request_id, reply } => self.answer_operator(request_id, &reply),
+            Effect::Accept(accepting) => self.set_accepting(accepting),
+            Effect::ToOperator { request_id, reply } => self.reply_to_operator(request_id, &reply),
             Effect::CloseCallerConn { caller_conn } => {
-                if let Some(mut connection) = self.links.remove(&caller_conn) {
+                if let Some(mut connection) = self.caller_conns.remove(&caller_conn) {
                     connection.flush();
                     if !connection.is_flushed() {
-                        self.closing.push((SystemTime::now() + LAST_WORDS, connection));
+                        self.closing.push((SystemTime::now() + CLOSE_TIMEOUT, connection));
                     }
                 }
             }
-            Effect::CloseCallerConnIfIdle { caller_conn } => self.close_if_quiet(caller_conn),
-            Effect::ConnectExchange { exchange_conn, number, address, .. } if self.speaks_iax2(number) => {
+            Effect::CloseCallerConnIfIdle { caller_conn } => self.close_if_idle(caller_conn),
+            Effect::ConnectExchange { exchange_conn, number, address, .. } if self.uses_iax2(number) => {
                 let limit = self.connect_timeout;
-                self.on_handsets(|h, out| {
-                    h.endpoint.connect_exchange(SystemTime::now(), exchange_conn, address, limit, out)
+                self.with_iax2(|iax2, out| {
+                    iax2.endpoint.connect_exchange(SystemTime::now(), exchange_conn, address, limit, out)
                 });
             }
-            Effect::ConnectExchange { exchange_conn, address, .. } => self.dial(exchange_conn, address),
-            Effect::CloseExchangeConn { exchange_conn } => match self.conns.remove(&exchange_conn) {
+            Effect::ConnectExchange { exchange_conn, address, .. } => {
+                self.connect_exchange(exchange_conn, address)
+            }
+            Effect::CloseExchangeConn { exchange_conn } => match self.exchange_conns.remove(&exchange_conn) {
                 Some(mut connection) => {
                     connection.flush();
-                    let attempts = connection.take_written();
-                    self.note_written(attempts);
-                    connection.cut();
+                    let attempts = connection.take_written_count();
+                    self.report_written(attempts);
+                    connection.shutdown();
+                }
+                None => {
+                    self.with_iax2(|iax2, _| iax2.endpoint.close_exchange(SystemTime::now(), exchange_conn))
                 }
-                None => self.on_handsets(|h, _| h.endpoint.close_exchange(SystemTime::now(), exchange_conn)),
             },
             Effect::Reconfigure(config) => {
                 let config = *config;
-                self.report = config.report_field_names.into();
+                self.report_field_names = config.report_field_names.into();
                 self.connect_timeout = config.connect_timeout;
-                let moved = ListSource { resolver: config.resolver, zones: config.zones };
-                if self.source.try_send(moved).is_err() {
-                    tracing::warn!("the resolver's new address came while too many others wait");
+                let source = ListSource { resolver: config.resolver, zones: config.zones };
+                if self.source.try_send(source).is_err() {
+                    tracing::warn!(
+                        "too many address changes of the resolver are queued; the last one is ignored"
+                    );
                 }
             }
             Effect::Log(text) => tracing::info!("{text}"),
@@ -552,82 +571,85 @@
                 }
             }
             Effect::Exit => {
-                self.done.get_or_insert(SystemTime::now() + LAST_REPEATS);
+                self.exit_deadline.get_or_insert(SystemTime::now() + FINAL_RETRANSMIT_TIME);
             }
         }
     }
 
-    /// Closes a connection from callers if all that has come on it is read and nothing has begun. A set-up that
-    /// waits in it unread would be lost with it.
-    fn close_if_quiet(&mut self, caller_conn: CallerConnId) {
-        let waiting = self.inputs.len();
+    /// Closes a caller connection if all its data is read and no line is incomplete: a set-up that is still unread
+    /// would be lost.
+    fn close_if_idle(&mut self, caller_conn: CallerConnId) {
+        let queued = self.inputs.len();
         self.read_caller(caller_conn);
-        if self.inputs.len() > waiting || self.links.get(&caller_conn).is_none_or(Connection::has_begun) {
+        if self.inputs.len() > queued
+            || self.caller_conns.get(&caller_conn).is_none_or(Connection::has_partial_line)
+        {
             return;
         }
-        let Some(mut connection) = self.links.remove(&caller_conn) else { return };
+        let Some(mut connection) = self.caller_conns.remove(&caller_conn) else { return };
         connection.flush();
-        // The reducer hears of it before anything else comes, so that it sends nothing more there.
+        // Goes before all queued inputs, so that the reducer sends nothing more on this connection.
         self.inputs.push_front(Input::CallerDisconnected { caller_conn });
         if !connection.is_flushed() {
-            self.closing.push((SystemTime::now() + LAST_WORDS, connection));
+            self.closing.push((SystemTime::now() + CLOSE_TIMEOUT, connection));
         }
     }
 
-    fn say_to_exchange(&mut self, exchange_conn: ExchangeConnId, call: CallUid, word: &ExchangeMessage) {
-        let attempt = matches!(word, ExchangeMessage::SetUp { .. });
-        if let Some(connection) = self.conns.get_mut(&exchange_conn) {
-            let message = jsonl::format_exchange_message(call, word);
-            if attempt {
-                connection.count_next(message.len());
+    fn send_to_exchange(&mut self, exchange_conn: ExchangeConnId, call: CallUid, message: &ExchangeMessage) {
+        let is_attempt = matches!(message, ExchangeMessage::SetUp { .. });
+        if let Some(connection) = self.exchange_conns.get_mut(&exchange_conn) {
+            let message = jsonl::format_exchange_message(call, message);
+            if is_attempt {
+                connection.count_next_message(message.len());
             }
-            self.say(Whose::Exchange(exchange_conn), &message);
+            self.send(ConnId::Exchange(exchange_conn), &message);
         } else {
-            self.note_written(u64::from(attempt));
-            self.on_handsets(|h, out| {
-                h.endpoint.send_to_exchange(SystemTime::now(), exchange_conn, call, word, out)
+            self.report_written(u64::from(is_attempt));
+            self.with_iax2(|iax2, out| {
+                iax2.endpoint.send_to_exchange(SystemTime::now(), exchange_conn, call, message, out)
             });
         }
     }
 
-    /// Set-ups were written whole to an exchange.
-    fn note_written(&mut self, attempts: u64) {
+    /// Tells the reducer how many set-ups were completely written to an exchange.
+    fn report_written(&mut self, attempts: u64) {
         if attempts > 0 {
             self.inputs.push_back(Input::AttemptsWritten { attempts });
         }
     }
 
-    /// Queues a message; whoever lets too much pile up is cut off.
-    fn say(&mut self, whose: Whose, message: &[u8]) {
-        let Some(connection) = self.connection(whose) else {
-            if let Whose::Caller(caller_conn) = whose {
-                // Closed a moment ago: a release that was meant for it finds another way.
+    /// Queues a message on a connection; a connection with too many unsent bytes is closed.
+    fn send(&mut self, conn_id: ConnId, message: &[u8]) {
+        let Some(connection) = self.connection(conn_id) else {
+            if let ConnId::Caller(caller_conn) = conn_id {
+                // The connection is already closed: the reducer sends a release on another one.
                 self.inputs.push_back(Input::CallerMessagesUnread { caller_conn });
             }
             return;
         };
-        if connection.send(message) {
-            self.unsent.push(whose.token());
+        if connection.queue(message) {
+            self.unsent.push(conn_id.token());
             return;
         }
-        match whose {
-            Whose::Caller(caller_conn) => {
-                self.links.remove(&caller_conn);
+        match conn_id {
+            ConnId::Caller(caller_conn) => {
+                self.caller_conns.remove(&caller_conn);
                 self.inputs.push_back(Input::CallerDisconnected { caller_conn });
             }
-            Whose::Exchange(exchange_conn) => self.lose_exchange(exchange_conn),
+            ConnId::Exchange(exchange_conn) => self.drop_exchange_conn(exchange_conn),
         }
     }
 
-    fn dial(&mut self, exchange_conn: ExchangeConnId, address: SocketAddr) {
-        let until = SystemTime::now() + self.connect_timeout;
-        let dialled = Connection::dial(address, until, EXCHANGE_LINE).and_then(|mut connection| {
-            connection.watch(&self.registry, Whose::Exchange(exchange_conn).token())?;
-            Ok(connection)
-        });
-        match dialled {
+    fn connect_exchange(&mut self, exchange_conn: ExchangeConnId, address: SocketAddr) {
+        let deadline = SystemTime::now() + self.connect_timeout;
+        let result =
+            Connection::connect(address, deadline, EXCHANGE_LINE_TIMEOUT).and_then(|mut connection| {
+                connection.register(&self.registry, ConnId::Exchange(exchange_conn).token())?;
+                Ok(connection)
+            });
+        match result {
             Ok(connection) => {
-                self.conns.insert(exchange_conn, connection);
+                self.exchange_conns.insert(exchange_conn, connection);
             }
             Err(error) => {
                 let refused = error.kind() == ErrorKind::ConnectionRefused;
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -21,17 +21,17 @@
 use crate::interface::Readiness;
 
 /// How long the other process may take for all that it hands over. It answers between two turns of its loop.
-const PATIENCE: Duration = Duration::from_secs(1);
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Bytes that may be handed over, and that may wait to be written.
-const MOST: usize = 1 << 20;
+const MAX_BUFFERED_BYTES: usize = 1 << 20;
 /// Its tokens count from here up to those of the operators' door.
-const BASE: usize = 1 << 61;
-const END: usize = 1 << 62;
-const LISTENER: Token = Token(BASE);
+const FIRST_TOKEN: usize = 1 << 61;
+const END_TOKEN: usize = 1 << 62;
+const LISTENER: Token = Token(FIRST_TOKEN);
 
 /// What is wrong with what the other process says.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("not a word between two processes of a softswitch")]
+#[error("not a message between two processes of a softswitch")]
 pub struct MessageError;
 
 /// The listening socket that this process inherited as the descriptor of this number. The number stays open beside
@@ -51,7 +51,7 @@
     folder.join(format!("swiftlb-{listen}"))
 }
 
-fn object(say: &str, fields: Vec<(&str, JsonValue)>) -> Vec<u8> {
+fn json_line(say: &str, fields: Vec<(&str, JsonValue)>) -> Vec<u8> {
     let mut object: HashMap<String, JsonValue> = fields.into_iter().map(|(k, v)| (k.to_owned(), v)).collect();
     object.insert("say".to_owned(), say.to_owned().into());
     let mut line = JsonValue::from(object).stringify().unwrap_or_default().into_bytes();
@@ -60,27 +60,27 @@
 }
 
 /// A word as it is sent.
-pub fn format_message(word: &SiblingMessage) -> Vec<u8> {
+pub fn format_message(message: &SiblingMessage) -> Vec<u8> {
     let call = |call: &CallUid| ("call", call.as_str().to_owned().into());
-    match word {
-        SiblingMessage::HandoverRequest => object("hello", Vec::new()),
-        SiblingMessage::Serving => object("serving", Vec::new()),
+    match message {
+        SiblingMessage::HandoverRequest => json_line("hello", Vec::new()),
+        SiblingMessage::Serving => json_line("serving", Vec::new()),
         SiblingMessage::HandoverComplete { serial } => {
-            object("whole", vec![("serial", f64::from(*serial).into())])
+            json_line("whole", vec![("serial", f64::from(*serial).into())])
         }
         SiblingMessage::HangUp { call: name, cause } => {
-            object("hangup", vec![call(name), ("cause", f64::from(*cause).into())])
+            json_line("hangup", vec![call(name), ("cause", f64::from(*cause).into())])
         }
         SiblingMessage::Ended { call: name, cut } => {
-            object("ended", vec![call(name), ("cut", (*cut).into())])
+            json_line("ended", vec![call(name), ("cut", (*cut).into())])
         }
         SiblingMessage::Release { call: name, cut } => {
-            object("release", vec![call(name), ("cut", (*cut).into())])
+            json_line("release", vec![call(name), ("cut", (*cut).into())])
         }
         SiblingMessage::Learned { topic, exchange, values } => {
             let values: Vec<JsonValue> = values.iter().map(|value| (*value).into()).collect();
             let exchange = exchange.as_ref().map_or(JsonValue::Null, |name| name.to_string().into());
-            object(
+            json_line(
                 "belief",
                 vec![("topic", topic.clone().into()), ("of", exchange), ("values", values.into())],
             )
@@ -98,7 +98,7 @@
                 ("born", born),
                 ("draining", draining.into()),
             ];
-            object("exchange", fields)
+            json_line("exchange", fields)
         }
     }
 }
@@ -158,87 +158,85 @@
     stream: blocking::UnixStream,
     lines: LineSplitter,
     /// Words that came behind.
-    later: Vec<SiblingMessage>,
+    other_messages: Vec<SiblingMessage>,
 }
 
 /// Asks the process that serves now, if there is one, to hand over.
 ///
 /// # Errors
 /// If none is there, or what it says is not whole: then this process starts as if there were none.
-pub fn request_handover(place: &Path) -> io::Result<(PredecessorConn, HandoverState)> {
-    let mut stream = blocking::UnixStream::connect(place)?;
-    let until = SystemTime::now() + PATIENCE;
-    stream.set_write_timeout(Some(PATIENCE))?;
+pub fn request_handover(socket_path: &Path) -> io::Result<(PredecessorConn, HandoverState)> {
+    let mut stream = blocking::UnixStream::connect(socket_path)?;
+    let deadline = SystemTime::now() + HANDOVER_TIMEOUT;
+    stream.set_write_timeout(Some(HANDOVER_TIMEOUT))?;
     stream.write_all(&format_message(&SiblingMessage::HandoverRequest))?;
-    let (mut inheritance, mut lines, mut later) =
+    let (mut state, mut lines, mut other_messages) =
         (HandoverState::default(), LineSplitter::default(), Vec::new());
-    let (mut whole, mut taken, mut buffer) = (false, 0, vec![0; 16 * 1024]);
-    let spoilt = || io::Error::new(ErrorKind::InvalidData, MessageError);
+    let (mut whole, mut received_bytes, mut buffer) = (false, 0, vec![0; 16 * 1024]);
+    let invalid_data = || io::Error::new(ErrorKind::InvalidData, MessageError);
     while !whole {
-        let left = until.duration_since(SystemTime::now()).map_err(|_| ErrorKind::TimedOut)?;
-        stream.set_read_timeout(Some(left.max(Duration::from_millis(1))))?;
+        let remaining = deadline.duration_since(SystemTime::now()).map_err(|_| ErrorKind::TimedOut)?;
+        stream.set_read_timeout(Some(remaining.max(Duration::from_millis(1))))?;
         let length = stream.read(&mut buffer)?;
-        taken += length;
-        if length == 0 || taken > MOST {
-            return Err(spoilt());
+        received_bytes += length;
+        if length == 0 || received_bytes > MAX_BUFFERED_BYTES {
+            return Err(invalid_data());
         }
-        let read = lines.push(&buffer[..length], |cut| {
-            let SplitLine::Complete(line) = cut else { return ControlFlow::Break(()) };
+        let read = lines.push(&buffer[..length], |line| {
+            let SplitLine::Complete(line) = line else { return ControlFlow::Break(()) };
             match parse_message(&line) {
-                Ok(word) if whole => later.push(word),
-                Ok(SiblingMessage::Exchange(entry)) => inheritance.list.push(entry),
+                Ok(message) if whole => other_messages.push(message),
+                Ok(SiblingMessage::Exchange(entry)) => state.list.push(entry),
                 Ok(SiblingMessage::Learned { topic, exchange, values }) => {
-                    inheritance.learned.push((topic, exchange, values))
+                    state.learned.push((topic, exchange, values))
                 }
-                Ok(SiblingMessage::HandoverComplete { serial }) => {
-                    (inheritance.serial, whole) = (serial, true)
-                }
-                Ok(word) => later.push(word),
+                Ok(SiblingMessage::HandoverComplete { serial }) => (state.serial, whole) = (serial, true),
+                Ok(message) => other_messages.push(message),
                 Err(MessageError) => return ControlFlow::Break(()),
             }
             ControlFlow::Continue(())
         });
         if read.is_break() {
-            return Err(spoilt());
+            return Err(invalid_data());
         }
     }
-    if inheritance.list.is_empty() {
-        return Err(spoilt());
+    if state.list.is_empty() {
+        return Err(invalid_data());
     }
-    Ok((PredecessorConn { stream, lines, later }, inheritance))
+    Ok((PredecessorConn { stream, lines, other_messages }, state))
 }
 
-struct Other {
+struct Sibling {
     stream: UnixStream,
     token: Token,
     lines: LineSplitter,
     unsent: Vec<u8>,
     /// It has said something.
-    heard: bool,
+    has_spoken: bool,
 }
 
 /// The meeting place and the other process, while there is one.
 pub(super) struct Handover {
-    place: PathBuf,
+    socket_path: PathBuf,
     listener: Option<UnixListener>,
-    other: Option<Other>,
-    last: usize,
+    sibling: Option<Sibling>,
+    last_id: usize,
 }
 
 impl Handover {
     /// Goes on with the process that has handed over, or waits for one that takes this one's place.
     pub(super) fn new(
-        place: PathBuf,
+        socket_path: PathBuf,
         handed: Option<PredecessorConn>,
         registry: &Registry,
         inputs: &mut impl Extend<Input>,
     ) -> Self {
-        let mut this = Self { place, listener: None, other: None, last: 0 };
+        let mut this = Self { socket_path, listener: None, sibling: None, last_id: 0 };
         match handed {
-            Some(PredecessorConn { stream, lines, later }) => {
-                inputs.extend(later.into_iter().map(Input::SiblingMessage));
-                let other = stream.set_nonblocking(true).map(|()| UnixStream::from_std(stream));
-                if !other.is_ok_and(|stream| this.take(stream, lines, registry)) {
+            Some(PredecessorConn { stream, lines, other_messages }) => {
+                inputs.extend(other_messages.into_iter().map(Input::SiblingMessage));
+                let sibling = stream.set_nonblocking(true).map(|()| UnixStream::from_std(stream));
+                if !sibling.is_ok_and(|stream| this.attach(stream, lines, registry)) {
                     inputs.extend([Input::SiblingDisconnected]);
                 }
             }
@@ -249,57 +247,64 @@
 
     /// Whether the poll means it by this token.
     pub(super) fn owns(token: Token) -> bool {
-        (BASE..END).contains(&token.0)
+        (FIRST_TOKEN..END_TOKEN).contains(&token.0)
     }
 
     /// Waits where the next process will ask. Without that place it would start as if this one were not there.
     pub(super) fn listen(&mut self, registry: &Registry) {
         // A file that a former process left is of no use to anyone.
-        let _ = std::fs::remove_file(&self.place);
-        let listener = UnixListener::bind(&self.place).and_then(|mut listener| {
+        let _ = std::fs::remove_file(&self.socket_path);
+        let listener = UnixListener::bind(&self.socket_path).and_then(|mut listener| {
             registry.register(&mut listener, LISTENER, Interest::READABLE)?;
             Ok(listener)
         });
         match listener {
             Ok(listener) => self.listener = Some(listener),
-            Err(error) => tracing::warn!(%error, "no process can take the place of this one"),
+            Err(error) => tracing::warn!(%error, "no process can take the socket_path of this one"),
         }
     }
 
-    fn take(&mut self, mut stream: UnixStream, lines: LineSplitter, registry: &Registry) -> bool {
-        self.last += 1;
-        let token = Token(BASE + self.last);
-        let watched = registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE).is_ok();
-        if watched {
-            self.other = Some(Other { stream, token, lines, unsent: Vec::new(), heard: false });
+    fn attach(&mut self, mut stream: UnixStream, lines: LineSplitter, registry: &Registry) -> bool {
+        self.last_id += 1;
+        let token = Token(FIRST_TOKEN + self.last_id);
+        let registered =
+            registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE).is_ok();
+        if registered {
+            self.sibling = Some(Sibling { stream, token, lines, unsent: Vec::new(), has_spoken: false });
         }
-        watched
+        registered
     }
 
     /// The poll has something to say.
-    pub(super) fn on_event(&mut self, token: Token, registry: &Registry, inputs: &mut impl Extend<Input>) {
+    pub(super) fn handle_event(
+        &mut self,
+        token: Token,
+        registry: &Registry,
+        inputs: &mut impl Extend<Input>,
+    ) {
         if token == LISTENER {
             while let Some(Ok((stream, _))) = self.listener.as_ref().map(UnixListener::accept) {
                 // One at a time; who has said nothing yet has no place to lose.
-                if self.other.as_ref().is_none_or(|other| !other.heard) {
-                    self.take(stream, LineSplitter::default(), registry);
+                if self.sibling.as_ref().is_none_or(|sibling| !sibling.has_spoken) {
+                    self.attach(stream, LineSplitter::default(), registry);
                 }
             }
         }
-        let Some(other) = self.other.as_mut().filter(|other| token == LISTENER || other.token == token)
+        let Some(sibling) =
+            self.sibling.as_mut().filter(|sibling| token == LISTENER || sibling.token == token)
         else {
             return;
         };
         let mut buffer = [0; 4 * 1024];
         let gone = loop {
-            match other.stream.read(&mut buffer) {
+            match sibling.stream.read(&mut buffer) {
                 Ok(0) => break true,
                 Ok(length) => {
-                    let read = other.lines.push(&buffer[..length], |cut| {
-                        let SplitLine::Complete(line) = cut else { return ControlFlow::Break(()) };
-                        let Ok(word) = parse_message(&line) else { return ControlFlow::Break(()) };
-                        other.heard = true;
-                        inputs.extend([Input::SiblingMessage(word)]);
+                    let read = sibling.lines.push(&buffer[..length], |line| {
+                        let SplitLine::Complete(line) = line else { return ControlFlow::Break(()) };
+                        let Ok(message) = parse_message(&line) else { return ControlFlow::Break(()) };
+                        sibling.has_spoken = true;
+                        inputs.extend([Input::SiblingMessage(message)]);
                         ControlFlow::Continue(())
                     });
                     if read.is_break() {
@@ -312,14 +317,14 @@
             }
         };
         if gone {
-            self.lose(registry, inputs);
+            self.disconnect(registry, inputs);
         } else {
             self.flush(registry, inputs);
         }
     }
 
-    fn lose(&mut self, registry: &Registry, inputs: &mut impl Extend<Input>) {
-        if self.other.take().is_some() {
+    fn disconnect(&mut self, registry: &Registry, inputs: &mut impl Extend<Input>) {
+        if self.sibling.take().is_some() {
             // A process that had taken this one's place may have moved into the meeting place.
             self.listen(registry);
             inputs.extend([Input::SiblingDisconnected]);
@@ -327,34 +332,34 @@
     }
 
     /// Tells the other process.
-    pub(super) fn say(
+    pub(super) fn send(
         &mut self,
-        word: &SiblingMessage,
+        message: &SiblingMessage,
         registry: &Registry,
         inputs: &mut impl Extend<Input>,
     ) {
-        let Some(other) = &mut self.other else { return };
-        other.unsent.extend(format_message(word));
-        if other.unsent.len() > MOST {
-            return self.lose(registry, inputs);
+        let Some(sibling) = &mut self.sibling else { return };
+        sibling.unsent.extend(format_message(message));
+        if sibling.unsent.len() > MAX_BUFFERED_BYTES {
+            return self.disconnect(registry, inputs);
         }
         self.flush(registry, inputs);
         // From here on a third process is to ask this one.
-        if *word == SiblingMessage::Serving {
+        if *message == SiblingMessage::Serving {
             self.listen(registry);
         }
     }
 
     fn flush(&mut self, registry: &Registry, inputs: &mut impl Extend<Input>) {
-        let Some(other) = &mut self.other else { return };
-        while !other.unsent.is_empty() {
-            match other.stream.write(&other.unsent) {
+        let Some(sibling) = &mut self.sibling else { return };
+        while !sibling.unsent.is_empty() {
+            match sibling.stream.write(&sibling.unsent) {
                 Ok(length) => {
-                    other.unsent.drain(..length);
+                    sibling.unsent.drain(..length);
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                Err(_) => return self.lose(registry, inputs),
+                Err(_) => return self.disconnect(registry, inputs),
             }
         }
     }
--- a/src/net/jsonl.rs
+++ b/src/net/jsonl.rs
@@ -350,7 +350,7 @@
     }
 
     /// Whether a line has begun that has not ended.
-    pub fn has_begun(&self) -> bool {
+    pub fn has_partial_line(&self) -> bool {
         self.skipping || !self.buffer.is_empty()
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,8 +1,8 @@
-//! The effects: sockets, threads and the one loop in which the reducer runs.
+//! Network I/O: the sockets, the helper threads and the event loop that runs the reducer.
 //!
-//! One thread waits for all connections at once. It turns what comes on one into inputs, runs the reducer on
-//! each and carries out what it asks for, and never waits for a peer. What is no connection (signals, the
-//! resolver, datagrams of IAX2) has a thread of its own, which puts its messages into one bounded channel.
+//! One thread polls all TCP connections. It turns received data into inputs, runs the reducer on each input and
+//! performs the resulting effects; it never blocks on a remote end. Signals, the resolver and IAX2 datagrams have
+//! a thread each, which sends its messages to the loop through one bounded channel.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
@@ -23,7 +23,7 @@
 use crate::iax2::{Endpoint, Iax2Config};
 use connection::spawn_small_thread;
 use dns::ListSource;
-use driver::{Driver, HANDSETS, Handsets};
+use driver::{Driver, IAX2_CONN, Iax2Front};
 use handover::{Handover, PredecessorConn};
 use operator::OperatorServer;
 
@@ -34,50 +34,50 @@
 pub mod jsonl;
 mod operator;
 
-/// Messages of other threads that may wait for the loop; their senders wait beyond that.
-const WAITING: usize = 512;
-/// New addresses of the resolver that may wait for its thread, which looks ten times a second.
-const MOVES: usize = 16;
-/// Events that are taken from the system at once.
-const EVENTS: usize = 256;
-/// Time between two tries to have the address of IAX2, where another process still has it.
-const BIND_AGAIN: Duration = Duration::from_millis(100);
-/// How long the last answers may take to be written at the end.
-const LAST_WRITES: Duration = Duration::from_millis(50);
+/// Maximum number of messages queued for the event loop; senders block while the queue is full.
+const MAX_QUEUED_MESSAGES: usize = 512;
+/// Maximum number of queued address changes of the resolver. The resolver thread reads them ten times a second.
+const MAX_QUEUED_SOURCES: usize = 16;
+/// Maximum number of events per poll.
+const MAX_POLL_EVENTS: usize = 256;
+/// Time between attempts to bind the IAX2 address while another process still holds it.
+const BIND_RETRY: Duration = Duration::from_millis(100);
+/// Time for writing the last messages before the process exits.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Why a softswitch cannot serve.
+/// Why a softswitch cannot start or has to stop serving.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// A socket or a thread cannot be had.
-    #[error("{what}: {error}")]
+    /// A system call for a socket, the poll or a thread failed.
+    #[error("cannot {what}: {error}")]
     System {
-        /// What for.
+        /// What the call was for.
         what: &'static str,
-        /// The system's word.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// The module makes no decisions with these settings.
+    /// The decision module rejects the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// Records were asked for and cannot be kept.
+    /// Recording is enabled and cannot be started.
     #[error(transparent)]
     Records(#[from] RecorderError),
 }
 
-fn system(what: &'static str) -> impl FnOnce(io::Error) -> ServeError {
+fn io_error(what: &'static str) -> impl FnOnce(io::Error) -> ServeError {
     move |error| ServeError::System { what, error }
 }
 
-/// What other threads tell the loop.
+/// Message from another thread to the event loop.
 #[derive(Debug)]
 pub enum LoopMessage {
     /// An input for the reducer.
     Input(Input),
-    /// A datagram has come on the IAX2 socket, at this time.
+    /// A datagram from the IAX2 socket: sender, content and time of arrival.
     Datagram(SocketAddr, Vec<u8>, SystemTime),
 }
 
-/// The way into the loop for other threads.
+/// Sends messages from other threads to the event loop.
 #[derive(Clone, Debug)]
 pub struct LoopSender {
     sender: Sender<LoopMessage>,
@@ -85,202 +85,221 @@
 }
 
 impl LoopSender {
-    /// Hands a message to the loop; waits while too many others do.
+    /// Sends a message to the event loop; blocks while its queue is full.
     ///
     /// # Errors
     /// If the loop has ended.
     pub fn send(&self, message: LoopMessage) -> Result<(), Box<SendError<LoopMessage>>> {
         self.sender.send(message)?;
-        // Fails only once the loop and its poll are gone.
+        // Fails only if the loop and its poll no longer exist.
         let _ = self.waker.wake();
         Ok(())
     }
 }
 
-/// A softswitch that listens but has not begun to serve.
+/// A softswitch whose sockets are bound but which does not serve yet.
 #[derive(Debug)]
 pub struct Server {
     config: Config,
     listener: TcpListener,
-    door: Option<TcpListener>,
-    /// The front for IAX2, and its socket; none where another process still has the address.
-    handsets: Option<(Iax2Config, Option<UdpSocket>)>,
+    operator_listener: Option<TcpListener>,
+    /// Configuration of the IAX2 front and its socket; no socket while another process holds the address.
+    iax2_front: Option<(Iax2Config, Option<UdpSocket>)>,
     poll: Poll,
     messages: Receiver<LoopMessage>,
     loop_sender: LoopSender,
-    succession: Option<Succession>,
+    handover: Option<HandoverSetup>,
     edge: EdgeSettings,
 }
 
-/// How it came to its listening socket, where another process may take its place or it takes another's.
+/// Handover state of a process with an inherited listening socket: it may replace another process, and may be
+/// replaced itself.
 #[derive(Debug)]
-struct Succession {
-    place: PathBuf,
-    handed: Option<(PredecessorConn, HandoverState)>,
+struct HandoverSetup {
+    socket_path: PathBuf,
+    predecessor: Option<(PredecessorConn, HandoverState)>,
 }
 
 impl Server {
-    /// Takes the addresses on which callers connect; IAX2 is off without a configuration of its own.
+    /// Binds the addresses on which callers connect; without an IAX2 configuration that front is off.
     ///
     /// # Errors
-    /// If one cannot be had.
+    /// If an address cannot be bound.
     pub fn bind(config: Config, iax2: Option<Iax2Config>) -> Result<Self, ServeError> {
-        let listener = TcpListener::bind(config.listen).map_err(system("listen"))?;
-        Self::on(listener, false, config, iax2)
+        let listener = TcpListener::bind(config.listen).map_err(io_error("listen"))?;
+        Self::from_listener(listener, false, config, iax2)
     }
 
-    /// Takes a listening socket that was inherited, and the place of the process that serves on it now, if one
-    /// is met in this folder. Whatever goes wrong at that, this is then a start like any other.
+    /// Uses an inherited listening socket and requests a handover from the process that serves on it now, if its
+    /// Unix socket exists in `folder`. If the handover fails, this is an ordinary start.
     ///
     /// # Errors
-    /// If another address cannot be had.
+    /// If one of the other addresses cannot be bound.
     pub fn from_inherited(
         listener: TcpListener,
         folder: &Path,
         config: Config,
         iax2: Option<Iax2Config>,
     ) -> Result<Self, ServeError> {
-        let place = handover::socket_path(folder, listener.local_addr().map_err(system("listen"))?);
-        let handed = match handover::request_handover(&place) {
-            Ok(handed) => Some(handed),
+        let socket_path = handover::socket_path(folder, listener.local_addr().map_err(io_error("listen"))?);
+        let predecessor = match handover::request_handover(&socket_path) {
+            Ok(predecessor) => Some(predecessor),
             Err(error) if matches!(error.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => None,
             Err(error) => {
-                tracing::warn!(%error, "nothing can be taken over");
+                tracing::warn!(%error, "handover from the running process failed; starting without its state");
                 None
             }
         };
-        // The seed is that of the process before: random choices, and ids that are made from them, must differ.
+        // The configured seed is also the predecessor's. Both processes live for a while, so their random choices
+        // and the ids generated from them must differ.
         let now =
             SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
         let seed = config.seed.rotate_left(17) ^ now ^ (u64::from(std::process::id()) << 32);
-        let server = Self::on(listener, true, Config { seed, ..config }, iax2)?;
-        Ok(Self { succession: Some(Succession { place, handed }), ..server })
+        let server = Self::from_listener(listener, true, Config { seed, ..config }, iax2)?;
+        Ok(Self { handover: Some(HandoverSetup { socket_path, predecessor }), ..server })
     }
 
-    fn on(
+    fn from_listener(
         listener: TcpListener,
         inherited: bool,
         config: Config,
         iax2: Option<Iax2Config>,
     ) -> Result<Self, ServeError> {
-        listener.set_nonblocking(true).map_err(system("listen"))?;
-        let door =
-            config.operator.map(OperatorServer::bind).transpose().map_err(system("listen for operators"))?;
-        let handsets = match iax2 {
+        listener.set_nonblocking(true).map_err(io_error("listen"))?;
+        let operator_listener = config
+            .operator
+            .map(OperatorServer::bind)
+            .transpose()
+            .map_err(io_error("listen for operators"))?;
+        let iax2_front = match iax2 {
             Some(iax2) => {
                 let socket = match UdpSocket::bind(iax2.listen) {
                     Err(error) if inherited && error.kind() == ErrorKind::AddrInUse => None,
-                    socket => Some(socket.map_err(system("listen for IAX2"))?),
+                    socket => Some(socket.map_err(io_error("listen for IAX2"))?),
                 };
                 Some((iax2, socket))
             }
             None => None,
         };
-        let poll = Poll::new().map_err(system("poll"))?;
-        let waker = Arc::new(Waker::new(poll.registry(), driver::WAKER).map_err(system("waker"))?);
-        let (sender, messages) = bounded(WAITING);
+        let poll = Poll::new().map_err(io_error("poll"))?;
+        let waker = Arc::new(
+            Waker::new(poll.registry(), driver::WAKER).map_err(io_error("create the waker of the poll"))?,
+        );
+        let (sender, messages) = bounded(MAX_QUEUED_MESSAGES);
         Ok(Self {
             config,
             listener,
-            door,
-            handsets,
+            operator_listener,
+            iax2_front,
             poll,
             messages,
             loop_sender: LoopSender { sender, waker },
-            succession: None,
+            handover: None,
             edge: EdgeSettings::default(),
         })
     }
 
-    /// Serves with what is switched on beyond the platform's configuration.
+    /// Sets the settings of the optional subsystems.
     #[must_use]
     pub fn with_edge(self, edge: EdgeSettings) -> Self {
         Self { edge, ..self }
     }
 
-    /// Where it listens.
+    /// Address that callers connect to.
     ///
     /// # Errors
-    /// If the system does not say.
+    /// If the operating system does not return it.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Where operators reach it; `None` where there is no door for them.
+    /// Address of the operators' HTTP server; `None` if there is none.
     pub fn operator_address(&self) -> Option<SocketAddr> {
-        self.door.as_ref().and_then(|door| door.local_addr().ok())
+        self.operator_listener.as_ref().and_then(|listener| listener.local_addr().ok())
     }
 
-    /// Where IAX2 callers reach it; `None` where that front is off.
+    /// Address of the IAX2 front; `None` if it is off or its address is not bound yet.
     pub fn iax2_address(&self) -> Option<SocketAddr> {
-        self.handsets.as_ref().and_then(|(_, socket)| socket.as_ref()?.local_addr().ok())
+        self.iax2_front.as_ref().and_then(|(_, socket)| socket.as_ref()?.local_addr().ok())
     }
 
-    /// A way to hand inputs in from outside, such as the order to stop.
+    /// Sender of messages to the event loop, for example the request to drain.
     pub fn loop_sender(&self) -> LoopSender {
         self.loop_sender.clone()
     }
 
-    /// Serves until it was told to stop and has answered all that it had taken.
+    /// Serves until a drain was requested and every accepted call has been answered.
     ///
     /// # Errors
-    /// If something that it cannot do without is not to be had.
+    /// If a required socket, thread or recorder fails, or the settings are rejected.
     pub fn run(self) -> Result<(), ServeError> {
-        let Self { mut config, listener, door, handsets, mut poll, messages, loop_sender, succession, edge } =
-            self;
+        let Self {
+            mut config,
+            listener,
+            operator_listener,
+            iax2_front,
+            mut poll,
+            messages,
+            loop_sender,
+            handover,
+            edge,
+        } = self;
         if let Ok(address) = listener.local_addr() {
             tracing::info!(name = config.name, %address, "serves");
         }
-        if let Some(address) = door.as_ref().and_then(|door| door.local_addr().ok()) {
+        if let Some(address) = operator_listener.as_ref().and_then(|listener| listener.local_addr().ok()) {
             tracing::info!(%address, "operators");
         }
-        let (place, handed) = succession.map_or((None, None), |s| (Some(s.place), s.handed));
-        let (handed, inheritance) = handed.unzip();
-        if let Some(inheritance) = &inheritance {
-            tracing::info!(exchanges = inheritance.list.len(), "takes the place of another process");
-            config.list_serial = inheritance.serial;
+        let (socket_path, predecessor) =
+            handover.map_or((None, None), |s| (Some(s.socket_path), s.predecessor));
+        let (predecessor, handover_state) = predecessor.unzip();
+        if let Some(handover_state) = &handover_state {
+            tracing::info!(exchanges = handover_state.list.len(), "takes the place of another process");
+            config.list_serial = handover_state.serial;
         }
-        let source = follow_resolver(&config, &loop_sender)?;
+        let source = start_resolver_thread(&config, &loop_sender)?;
         let mut inputs = VecDeque::new();
-        // Another process still has the address of IAX2: it is tried for until that one is gone.
-        let (handsets, mut awaited) = match handsets {
+        // While another process still holds the IAX2 address, binding is retried until that process exits.
+        let (iax2_front, mut unbound_iax2) = match iax2_front {
             Some((iax2, Some(socket))) => {
-                (Some(open_handsets(iax2, socket, config.seed, &loop_sender)?), None)
+                (Some(open_iax2_front(iax2, socket, config.seed, &loop_sender)?), None)
             }
             Some((iax2, None)) => (None, Some((iax2, SystemTime::now()))),
             None => (None, None),
         };
-        if handsets.is_some() {
-            inputs.push_back(Input::CallerConnected { caller_conn: HANDSETS, front: Front::Iax2 });
+        if iax2_front.is_some() {
+            inputs.push_back(Input::CallerConnected { caller_conn: IAX2_CONN, front: Front::Iax2 });
         }
         let mut effects = Vec::new();
         let now = SystemTime::now();
-        let inherited = inheritance.is_some();
-        let mut engine = match inheritance {
-            Some(inheritance) => Engine::take_over(&config, inheritance, now, &mut effects)?,
+        let inherited = handover_state.is_some();
+        let mut engine = match handover_state {
+            Some(handover_state) => Engine::take_over(&config, handover_state, now, &mut effects)?,
             None => Engine::new(&config, now, &mut effects)?,
         };
         let recorder = start_recorder(&config, &edge, now)?;
         if recorder.is_some() {
             engine.start_recording(inherited, &mut effects);
         }
-        let registry = poll.registry().try_clone().map_err(system("poll"))?;
-        let handover = place.map(|place| Handover::new(place, handed, &registry, &mut inputs));
+        let registry = poll.registry().try_clone().map_err(io_error("poll"))?;
+        let handover =
+            socket_path.map(|socket_path| Handover::new(socket_path, predecessor, &registry, &mut inputs));
         let listener = mio::net::TcpListener::from_std(listener);
-        let door = door
-            .map(|door| OperatorServer::open(door, &registry, edge.fleet_endpoint))
+        let operator_server = operator_listener
+            .map(|listener| OperatorServer::new(listener, &registry, edge.fleet_endpoint))
             .transpose()
-            .map_err(system("listen for operators"))?;
-        let mut driver = Driver::new(&config, listener, (door, handover), registry, source, handsets, inputs)
-            .map_err(system("listen"))?;
+            .map_err(io_error("listen for operators"))?;
+        let mut driver =
+            Driver::new(&config, listener, (operator_server, handover), registry, source, iax2_front, inputs)
+                .map_err(io_error("listen"))?;
         if let Some(recorder) = recorder {
-            driver.record(recorder, edge.clock_skew.start_clock(now));
+            driver.set_recorder(recorder, edge.clock_skew.start_clock(now));
         }
-        let mut events = Events::with_capacity(EVENTS);
+        let mut events = Events::with_capacity(MAX_POLL_EVENTS);
         for effect in effects.drain(..) {
             driver.perform(effect);
         }
-        let mut turn = |driver: &mut Driver| {
+        let mut run_reducer = |driver: &mut Driver| {
             while let Some(input) = driver.next_input() {
                 engine.handle(SystemTime::now(), input, &mut effects);
                 for effect in effects.drain(..) {
@@ -290,22 +309,22 @@
             engine.next_wake()
         };
         loop {
-            let wake = turn(&mut driver);
+            let wake = run_reducer(&mut driver);
             driver.flush();
             if driver.is_done() {
-                driver.finish(LAST_WRITES);
+                driver.flush_and_stop(FINAL_WRITE_TIMEOUT);
                 return Ok(());
             }
-            if let Some((iax2, at)) = awaited.take_if(|(_, at)| *at <= SystemTime::now()) {
+            if let Some((iax2, at)) = unbound_iax2.take_if(|(_, at)| *at <= SystemTime::now()) {
                 match UdpSocket::bind(iax2.listen) {
                     Ok(socket) => {
-                        driver.begin_handsets(open_handsets(iax2, socket, config.seed, &loop_sender)?)
+                        driver.start_iax2(open_iax2_front(iax2, socket, config.seed, &loop_sender)?)
                     }
-                    Err(_) => awaited = Some((iax2, at + BIND_AGAIN)),
+                    Err(_) => unbound_iax2 = Some((iax2, at + BIND_RETRY)),
                 }
             }
-            let again = awaited.as_ref().map(|(_, at)| *at);
-            let wake = wake.into_iter().chain(driver.next_wake()).chain(again).min();
+            let bind_retry_at = unbound_iax2.as_ref().map(|(_, at)| *at);
+            let wake = wake.into_iter().chain(driver.next_timeout()).chain(bind_retry_at).min();
             let wait = wake.map(|at| at.duration_since(SystemTime::now()).unwrap_or_default());
             match poll.poll(&mut events, wait) {
                 Err(error) if error.kind() != ErrorKind::Interrupted => {
@@ -313,30 +332,30 @@
                 }
                 _ => {}
             }
-            // Operators first: they are owed an answer whatever callers do.
-            // The reducer runs after each connection, so that none can pile up inputs before the others.
+            // Operators' requests come first, so that load from callers cannot delay them.
+            // The reducer runs after each connection, so that no connection can queue inputs ahead of the others.
             for event in events.iter().filter(|event| OperatorServer::owns(event.token())) {
-                driver.on_event(event.token());
-                turn(&mut driver);
+                driver.handle_event(event.token());
+                run_reducer(&mut driver);
             }
             for event in events.iter().filter(|event| !OperatorServer::owns(event.token())) {
-                driver.on_event(event.token());
-                turn(&mut driver);
+                driver.handle_event(event.token());
+                run_reducer(&mut driver);
             }
-            for message in messages.try_iter().take(WAITING) {
-                driver.admit(message);
-                turn(&mut driver);
+            for message in messages.try_iter().take(MAX_QUEUED_MESSAGES) {
+                driver.handle_message(message);
+                run_reducer(&mut driver);
             }
-            for token in driver.take_ready() {
-                driver.on_event(token);
-                turn(&mut driver);
+            for token in driver.take_readable() {
+                driver.handle_event(token);
+                run_reducer(&mut driver);
             }
-            driver.wake();
+            driver.handle_timeouts();
         }
     }
 }
 
-/// Begins to keep records, where that is switched on. What ends them later is a line of the log and no more.
+/// Starts the recorder if recording is enabled. A later failure only ends recording and is logged.
 fn start_recorder(
     config: &Config,
     edge: &EdgeSettings,
@@ -350,53 +369,58 @@
         run_started_us,
         file_number: 0,
     };
-    tracing::info!(directory = %settings.directory.display(), "records");
-    let trouble = |error: &RecorderError| tracing::error!(%error, "recording has stopped");
-    Ok(Some(Recorder::start(settings, head, trouble)?))
+    tracing::info!(directory = %settings.directory.display(), "recording");
+    let log_error = |error: &RecorderError| tracing::error!(%error, "recording has stopped");
+    Ok(Some(Recorder::start(settings, head, log_error)?))
 }
 
-/// The IAX2 side on its socket, read by a thread of its own.
-fn open_handsets(
+/// Starts the IAX2 front on this socket, with a thread that receives its datagrams.
+fn open_iax2_front(
     iax2: Iax2Config,
     socket: UdpSocket,
     seed: u64,
     loop_sender: &LoopSender,
-) -> Result<Handsets, ServeError> {
+) -> Result<Iax2Front, ServeError> {
     if let Ok(address) = socket.local_addr() {
-        tracing::info!(%address, "IAX2");
+        tracing::info!(%address, "IAX2 front listens");
     }
     let socket = Arc::new(socket);
     let (reader, loop_sender) = (socket.clone(), loop_sender.clone());
     spawn_small_thread("iax2", move || read_datagrams(&reader, &loop_sender))
-        .map_err(system("IAX2 thread"))?;
-    let endpoint = Endpoint::new(iax2.clone(), HANDSETS, seed);
-    Ok(Handsets { iax2, endpoint, socket })
+        .map_err(io_error("start the IAX2 thread"))?;
+    let endpoint = Endpoint::new(iax2.clone(), IAX2_CONN, seed);
+    Ok(Iax2Front { config: iax2, endpoint, socket })
 }
 
-/// Starts the thread that follows the list of exchanges, and says how to tell it that the resolver has moved.
-fn follow_resolver(config: &Config, loop_sender: &LoopSender) -> Result<Sender<ListSource>, ServeError> {
+/// Starts the thread that fetches the list of exchanges; the returned sender tells it a new resolver address.
+fn start_resolver_thread(
+    config: &Config,
+    loop_sender: &LoopSender,
+) -> Result<Sender<ListSource>, ServeError> {
     let source = ListSource { resolver: config.resolver, zones: config.zones.clone() };
     let (serial, seed, loop_sender) = (config.list_serial, config.seed, loop_sender.clone());
-    let (mover, moves) = bounded(MOVES);
-    let follow = move || {
-        let tell = |input| loop_sender.send(LoopMessage::Input(input)).is_ok();
-        let news = |serial, list: Option<_>| {
-            list.is_none_or(|list| tell(Input::List(list))) && tell(Input::ListConfirmed { serial })
+    let (source_sender, source_changes) = bounded(MAX_QUEUED_SOURCES);
+    let run = move || {
+        let send = |input| loop_sender.send(LoopMessage::Input(input)).is_ok();
+        let on_list = |serial, list: Option<_>| {
+            list.is_none_or(|list| send(Input::List(list))) && send(Input::ListConfirmed { serial })
         };
-        if let Err(error) = dns::follow_list(source, serial, seed, &moves, news) {
-            tracing::error!(%error, "the resolver cannot be followed");
+        if let Err(error) = dns::follow_list(source, serial, seed, &source_changes, on_list) {
+            tracing::error!(%error, "no socket for the resolver; the list of exchanges is no longer updated");
         }
     };
-    // The message parser of the resolver keeps its work on the stack; it gets a roomier one.
-    let builder = std::thread::Builder::new().name("resolver".to_owned()).stack_size(4 * connection::STACK);
-    builder.spawn(follow).map_err(system("resolver thread"))?;
-    Ok(mover)
+    // The DNS message parser keeps its working data on the stack, so this thread needs a larger one.
+    let builder = std::thread::Builder::new()
+        .name("resolver".to_owned())
+        .stack_size(4 * connection::THREAD_STACK_BYTES);
+    builder.spawn(run).map_err(io_error("start the resolver thread"))?;
+    Ok(source_sender)
 }
 
 fn read_datagrams(socket: &UdpSocket, loop_sender: &LoopSender) {
     let mut buffer = vec![0; 64 * 1024];
     loop {
-        // An error is the echo of a datagram that a dead peer refused; the leg's own time-out sees to it.
+        // The error reports an earlier datagram that a dead peer rejected (ICMP); the time-out of its leg handles it.
         let Ok((length, from)) = socket.recv_from(&mut buffer) else {
             std::thread::sleep(Duration::from_millis(5));
             continue;
--- a/src/net/operator.rs
+++ b/src/net/operator.rs
@@ -1,5 +1,5 @@
-//! The door for operators: a listener and a few connections of its own, which callers can neither take nor
-//! hold up.
+//! The operators' HTTP server. It has its own listener and connections, so that load from callers can neither occupy
+//! nor delay it.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -11,126 +11,141 @@
 
 use crate::ops::{self, OperatorReply, OperatorRequest};
 
-/// Connections that it holds at once; a further one takes the place of the oldest that has said nothing whole.
-pub(super) const MOST: usize = 8;
-/// Its tokens count from here; those of connections of calls never get there.
-const BASE: usize = 1 << 62;
-const LISTENER: Token = Token(BASE);
-/// A connection may be held for this long without a whole call, and after its answer until the peer closes it.
-const SILENT: Duration = Duration::from_secs(5);
-const LINGER: Duration = Duration::from_secs(1);
-/// Reads from one connection in a turn; a head is at its longest well before.
-const READS: usize = 16;
-
-/// A call that waits for its answer.
+/// Maximum number of open connections; a further one replaces an answered one, or else the oldest without a
+/// complete request.
+pub(super) const MAX_CONNECTIONS: usize = 8;
+/// First poll token of the server; tokens of call connections never become as large.
+const FIRST_TOKEN: usize = 1 << 62;
+const LISTENER: Token = Token(FIRST_TOKEN);
+/// Time for receiving a complete request and sending its reply.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time for which a connection is kept after the reply, until the operator closes it.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of reads from one connection per event; the longest head of a request fits well within it.
+const MAX_READS: usize = 16;
+
+/// Id of a request; it is also the id of the connection, which carries one request.
 pub type RequestId = usize;
 
-struct Visitor {
+struct OperatorConn {
     stream: TcpStream,
     head: Vec<u8>,
-    until: SystemTime,
-    /// It has asked, or been turned away.
-    heard: bool,
+    deadline: SystemTime,
+    /// A request was received or rejected; what follows it is ignored.
+    request_received: bool,
     unsent: Vec<u8>,
-    answered: bool,
+    replied: bool,
 }
 
-/// The listener for operators and who is there.
+/// The listener for operators and its open connections.
 pub(super) struct OperatorServer {
     listener: TcpListener,
-    visitors: BTreeMap<RequestId, Visitor>,
-    last: RequestId,
-    /// What lies under `/edge/` is there too.
-    edge: bool,
+    connections: BTreeMap<RequestId, OperatorConn>,
+    last_id: RequestId,
+    /// Whether the paths below `/edge/` exist.
+    edge_enabled: bool,
 }
 
 impl OperatorServer {
-    pub(super) fn open(listener: std::net::TcpListener, registry: &Registry, edge: bool) -> io::Result<Self> {
+    pub(super) fn new(
+        listener: std::net::TcpListener,
+        registry: &Registry,
+        edge_enabled: bool,
+    ) -> io::Result<Self> {
         let mut listener = TcpListener::from_std(listener);
         registry.register(&mut listener, LISTENER, Interest::READABLE)?;
-        Ok(Self { listener, visitors: BTreeMap::new(), last: 0, edge })
+        Ok(Self { listener, connections: BTreeMap::new(), last_id: 0, edge_enabled })
     }
 
-    /// Takes the address; the listener does not block.
+    /// Binds a non-blocking listener to this address.
     pub(super) fn bind(address: SocketAddr) -> io::Result<std::net::TcpListener> {
         let listener = std::net::TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
         Ok(listener)
     }
 
-    /// Whether the poll means the door by this token.
+    /// Whether this poll token belongs to the server.
     pub(super) fn owns(token: Token) -> bool {
-        token.0 >= BASE
+        token.0 >= FIRST_TOKEN
     }
 
-    /// The poll has something to say; what was asked is added to `orders`.
-    pub(super) fn on_event(
+    /// Handles an event of the poll; complete requests are added to `requests`.
+    pub(super) fn handle_event(
         &mut self,
         token: Token,
         registry: &Registry,
-        orders: &mut Vec<(RequestId, OperatorRequest)>,
+        requests: &mut Vec<(RequestId, OperatorRequest)>,
     ) {
         if token == LISTENER {
-            self.accept(registry, orders);
+            self.accept(registry, requests);
         } else {
-            self.serve(token.0 - BASE, orders);
+            self.read(token.0 - FIRST_TOKEN, requests);
         }
     }
 
-    fn accept(&mut self, registry: &Registry, orders: &mut Vec<(RequestId, OperatorRequest)>) {
+    fn accept(&mut self, registry: &Registry, requests: &mut Vec<(RequestId, OperatorRequest)>) {
         loop {
             match self.listener.accept() {
                 Ok((mut stream, _)) => {
-                    if self.visitors.len() >= MOST {
-                        self.make_room();
+                    if self.connections.len() >= MAX_CONNECTIONS {
+                        self.evict_connection();
                     }
-                    self.last += 1;
-                    let (ticket, token) = (self.last, Token(BASE + self.last));
+                    self.last_id += 1;
+                    let (request_id, token) = (self.last_id, Token(FIRST_TOKEN + self.last_id));
                     if registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE).is_ok()
                     {
-                        let until = SystemTime::now() + SILENT;
+                        let deadline = SystemTime::now() + REQUEST_TIMEOUT;
                         let (head, unsent) = (Vec::new(), Vec::new());
-                        let visitor = Visitor { stream, head, until, heard: false, unsent, answered: false };
-                        self.visitors.insert(ticket, visitor);
-                        self.serve(ticket, orders);
+                        let connection = OperatorConn {
+                            stream,
+                            head,
+                            deadline,
+                            request_received: false,
+                            unsent,
+                            replied: false,
+                        };
+                        self.connections.insert(request_id, connection);
+                        self.read(request_id, requests);
                     }
                 }
                 Err(error)
                     if matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
-                // Nobody else waits; where descriptors are short, the poll says so again with the next caller.
+                // The backlog is empty, or file descriptors have run out: then the next connection triggers the
+                // poll again.
                 Err(_) => return,
             }
         }
     }
 
-    /// Ends one connection: one that is answered, else the oldest that has asked nothing yet.
-    fn make_room(&mut self) {
-        let key = |(ticket, v): (&RequestId, &Visitor)| (!v.answered, v.heard, *ticket);
-        if let Some((.., ticket)) = self.visitors.iter().map(key).min() {
-            self.visitors.remove(&ticket);
+    /// Closes one connection: an answered one, else the oldest without a request, else the oldest.
+    fn evict_connection(&mut self) {
+        let key =
+            |(request_id, c): (&RequestId, &OperatorConn)| (!c.replied, c.request_received, *request_id);
+        if let Some((.., request_id)) = self.connections.iter().map(key).min() {
+            self.connections.remove(&request_id);
         }
     }
 
-    fn serve(&mut self, ticket: RequestId, orders: &mut Vec<(RequestId, OperatorRequest)>) {
-        let Some(visitor) = self.visitors.get_mut(&ticket) else { return };
+    fn read(&mut self, request_id: RequestId, requests: &mut Vec<(RequestId, OperatorRequest)>) {
+        let Some(connection) = self.connections.get_mut(&request_id) else { return };
         let mut buffer = [0; 1024];
         let mut ended = false;
-        // A bound for those who send on and on: what comes after a whole call means nothing.
-        for _ in 0..READS {
-            match visitor.stream.read(&mut buffer) {
+        // The bound stops a client that never ceases to send; data after a complete request is ignored.
+        for _ in 0..MAX_READS {
+            match connection.stream.read(&mut buffer) {
                 Ok(0) => ended = true,
-                Ok(_) if visitor.heard => {}
+                Ok(_) if connection.request_received => {}
                 Ok(length) => {
-                    visitor.head.extend_from_slice(&buffer[..length]);
-                    match ops::parse_request(&visitor.head, self.edge) {
+                    connection.head.extend_from_slice(&buffer[..length]);
+                    match ops::parse_request(&connection.head, self.edge_enabled) {
                         Ok(None) => {}
-                        Ok(Some(order)) => {
-                            visitor.heard = true;
-                            orders.push((ticket, order));
+                        Ok(Some(request)) => {
+                            connection.request_received = true;
+                            requests.push((request_id, request));
                         }
                         Err(error) => {
-                            visitor.heard = true;
-                            visitor.unsent = ops::format_reply(&OperatorReply::Rejected(error));
+                            connection.request_received = true;
+                            connection.unsent = ops::format_reply(&OperatorReply::Rejected(error));
                         }
                     }
                 }
@@ -142,54 +157,54 @@
                 break;
             }
         }
-        // Whoever has said all and shut its side still reads its answer.
-        let gone = ended && (visitor.answered || !visitor.heard);
+        // A client that shut down its sending side after a request still reads the reply.
+        let gone = ended && (connection.replied || !connection.request_received);
         if gone {
-            self.visitors.remove(&ticket);
+            self.connections.remove(&request_id);
         } else {
-            self.write(ticket);
+            self.write(request_id);
         }
     }
 
-    /// Answers a call.
-    pub(super) fn answer(&mut self, ticket: RequestId, reply: &OperatorReply) {
-        if let Some(visitor) = self.visitors.get_mut(&ticket) {
-            visitor.unsent = ops::format_reply(reply);
-            self.write(ticket);
+    /// Sends the reply to a request.
+    pub(super) fn reply(&mut self, request_id: RequestId, reply: &OperatorReply) {
+        if let Some(connection) = self.connections.get_mut(&request_id) {
+            connection.unsent = ops::format_reply(reply);
+            self.write(request_id);
         }
     }
 
-    fn write(&mut self, ticket: RequestId) {
-        let Some(visitor) = self.visitors.get_mut(&ticket) else { return };
-        while !visitor.unsent.is_empty() {
-            match visitor.stream.write(&visitor.unsent) {
+    fn write(&mut self, request_id: RequestId) {
+        let Some(connection) = self.connections.get_mut(&request_id) else { return };
+        while !connection.unsent.is_empty() {
+            match connection.stream.write(&connection.unsent) {
                 Ok(length) => {
-                    visitor.unsent.drain(..length);
+                    connection.unsent.drain(..length);
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(_) => {
-                    self.visitors.remove(&ticket);
+                    self.connections.remove(&request_id);
                     return;
                 }
             }
-            visitor.answered = visitor.unsent.is_empty();
-            if visitor.answered {
-                // Closed only once the peer has closed, or after a while: bytes left unread, such as a body,
-                // would reset the connection under the answer.
-                let _ = visitor.stream.shutdown(Shutdown::Write);
-                visitor.until = SystemTime::now() + LINGER;
+            connection.replied = connection.unsent.is_empty();
+            if connection.replied {
+                // The connection is closed after the client has closed it, or after a time-out: unread data, such
+                // as a body, would make the system reset the connection before the client has read the reply.
+                let _ = connection.stream.shutdown(Shutdown::Write);
+                connection.deadline = SystemTime::now() + LINGER_TIMEOUT;
             }
         }
     }
 
-    /// When the next connection has been held for too long.
-    pub(super) fn next_wake(&self) -> Option<SystemTime> {
-        self.visitors.values().map(|visitor| visitor.until).min()
+    /// Earliest deadline of all connections.
+    pub(super) fn next_timeout(&self) -> Option<SystemTime> {
+        self.connections.values().map(|connection| connection.deadline).min()
     }
 
-    /// Ends those that have been held for too long.
-    pub(super) fn sweep(&mut self, now: SystemTime) {
-        self.visitors.retain(|_, visitor| visitor.until > now);
+    /// Closes the connections whose deadline has passed.
+    pub(super) fn close_expired(&mut self, now: SystemTime) {
+        self.connections.retain(|_, connection| connection.deadline > now);
     }
 }
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -562,16 +562,16 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let now = std::time::SystemTime::now();
-    let mut echoes = ClosedConnections::default();
+    let mut closed = ClosedConnections::default();
     for id in 0..100 {
         let _caller = std::net::TcpStream::connect(address).expect("it listens");
         let stream = listener.accept().expect("a connection").0;
         stream.set_nonblocking(true).expect("it can be");
         let connection = Connection::accepted(mio::net::TcpStream::from_std(stream), PAUSE);
-        assert_eq!(echoes.keep(now + PAUSE, id, connection), None, "all was read");
-        assert!(echoes.len() <= MAX_CLOSED_CONNECTIONS);
+        assert_eq!(closed.push(now + PAUSE, id, connection), None, "all was read");
+        assert!(closed.len() <= MAX_CLOSED_CONNECTIONS);
     }
-    assert!(echoes.unread(now).is_empty());
-    echoes.unread(now + PAUSE);
-    assert!(echoes.is_empty());
+    assert!(closed.take_unread(now).is_empty());
+    closed.take_unread(now + PAUSE);
+    assert!(closed.is_empty());
 }
