--- a/src/net/dns.rs
+++ b/src/net/dns.rs
@@ -1,4 +1,4 @@
-//! The resolver's client: asks for the whole list of exchanges over and over and tells what is new.
+//! Client of the resolver: fetches the list of exchanges at short intervals and reports changes.
 
 use std::collections::VecDeque;
 use std::io::ErrorKind;
@@ -18,39 +18,39 @@
 
 /// The name whose SRV records list the exchanges.
 const SERVICE: &str = "_api._tcp.svc.local";
-/// Largest answer.
-const LARGEST: usize = 8_192;
-/// Time between two queries: an event counts as told with its first answer and after 1.5 s at the latest, so
-/// each must be seen long before that, lost datagrams included.
-const EVERY: Duration = Duration::from_millis(100);
-/// Queries whose answers are still taken, newest last: an answer that took longer than one turn is as good as
-/// a quick one, since serials say which of two is newer.
-const AWAITED: usize = 20;
+/// Maximum length of an answer, in bytes.
+const MAX_ANSWER_BYTES: usize = 8_192;
+/// Time between two queries. A change of the list counts as delivered with the first answer that contains it, and
+/// after 1.5 s at the latest; the interval is much shorter, so that lost datagrams do not matter.
+const QUERY_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of recent queries whose answers are accepted. A late answer is as valid as a quick one, because the serials
+/// tell which of two lists is newer.
+const MAX_OPEN_QUERIES: usize = 20;
 
-/// What is wrong with an answer.
+/// Why an answer is rejected.
 #[derive(Debug, Error)]
 pub enum AnswerError {
-    /// It cannot be parsed.
-    #[error("answer cannot be read: {0}")]
+    /// It is not a valid DNS message.
+    #[error("the answer is not a valid DNS message: {0}")]
     Malformed(#[from] simple_dns::SimpleDnsError),
-    /// It is not the answer to this query.
-    #[error("answer to another query")]
+    /// It is not the answer to an open query.
+    #[error("the answer does not belong to an open query")]
     UnknownId,
-    /// The resolver says that it failed, or cut the answer short.
-    #[error("the resolver failed")]
+    /// The resolver reports an error, or the answer is truncated.
+    #[error("the resolver reports an error or a truncated answer")]
     Failed,
-    /// No SOA record says which event is the last.
-    #[error("answer without a serial")]
+    /// It has no SOA record, which carries the serial of the list.
+    #[error("the answer has no serial (SOA record)")]
     NoSerial,
-    /// It lists nothing, or records of something that it lists are missing.
-    #[error("answer is not whole")]
+    /// It lists no exchange, or address or text records of a listed exchange are missing.
+    #[error("the list of exchanges in the answer is empty or incomplete")]
     Incomplete,
 }
 
-/// A query for the list.
+/// Builds a query for the list.
 ///
 /// # Errors
-/// Never for the name it asks for; the error is the message writer's.
+/// If the DNS message cannot be built, which does not happen for the fixed service name.
 pub fn build_query(id: u16) -> Result<Vec<u8>, simple_dns::SimpleDnsError> {
     let mut packet = Packet::new_query(id);
     packet.set_flags(PacketFlag::RECURSION_DESIRED);
@@ -59,24 +59,24 @@
     packet.build_bytes_vec()
 }
 
-/// Whether one serial is later than another (RFC 1982): they count round, and a late or repeated answer may
-/// hold an older list, which must not undo what a newer one has told.
-pub fn is_newer_serial(serial: u32, than: u32) -> bool {
-    (1..1 << 31).contains(&serial.wrapping_sub(than))
+/// Whether one serial is newer than another. Serials wrap around (RFC 1982). A late or repeated answer may contain an
+/// older list, which must not replace a newer one.
+pub fn is_newer_serial(serial: u32, other: u32) -> bool {
+    (1..1 << 31).contains(&serial.wrapping_sub(other))
 }
 
-/// Reads an answer to one of these queries: the number of the last event and the list after it.
+/// Parses the answer to one of the open queries and returns the serial and the list of exchanges.
 ///
 /// # Errors
-/// If it cannot be read, answers another query, or holds no serial or no whole list: an exchange that is not
-/// listed counts as gone, so a list with a hole in it would cut all calls there.
+/// If the answer is invalid, belongs to no open query, has no serial or is incomplete. An exchange that is not listed
+/// counts as removed, so an incomplete list would cut all calls at the missing exchanges.
 pub fn parse_answer(
-    awaited: &[u16],
+    open_queries: &[u16],
     bytes: &[u8],
     zones: &[String],
 ) -> Result<(u32, Vec<ListEntry>), AnswerError> {
     let packet = Packet::parse(bytes)?;
-    if !awaited.contains(&packet.id()) || !packet.has_flags(PacketFlag::RESPONSE) {
+    if !open_queries.contains(&packet.id()) || !packet.has_flags(PacketFlag::RESPONSE) {
         return Err(AnswerError::UnknownId);
     }
     if packet.rcode() != simple_dns::RCODE::NoError || packet.has_flags(PacketFlag::TRUNCATION) {
@@ -118,7 +118,7 @@
     if entries.is_empty() { Err(AnswerError::Incomplete) } else { Ok((serial, entries)) }
 }
 
-/// Where the list is to be had, and the zones that its names lie in.
+/// The resolver to query and the zones of the exchanges.
 #[derive(Clone, Debug)]
 pub struct ListSource {
     /// Address of the resolver.
@@ -137,68 +137,76 @@
     }
 }
 
-/// Asks for ever, and hands on each list that is later than the last; `None` says once, with the first good
-/// answer, that there is none. The serial is that of the list that counts now. `moves` says when the resolver has
-/// another address; serials go on through that. Ends when `news` says so.
+/// Fetches the list repeatedly and calls `on_list` with the serial and the list whenever it is newer than the last
+/// one. If the first valid answer shows that the initial list is current, `on_list` is called once without a list.
+/// `source_changes` delivers new addresses of the resolver; serials continue across such a change. Returns when
+/// `on_list` returns false.
 ///
 /// # Errors
-/// If no socket can be had at the start.
+/// If the initial socket cannot be opened, or a socket option cannot be set.
 pub fn follow_list(
     mut source: ListSource,
     mut serial: u32,
     seed: u64,
-    moves: &Receiver<ListSource>,
-    mut news: impl FnMut(u32, Option<Vec<ListEntry>>) -> bool,
+    source_changes: &Receiver<ListSource>,
+    mut on_list: impl FnMut(u32, Option<Vec<ListEntry>>) -> bool,
 ) -> std::io::Result<()> {
     let mut socket = source.socket()?;
-    let mut buffer = vec![0; LARGEST];
+    let mut buffer = vec![0; MAX_ANSWER_BYTES];
     let mut ids = Pcg64Mcg::seed_from_u64(seed);
     let mut confirmed = false;
-    let mut awaited: VecDeque<u16> = VecDeque::with_capacity(AWAITED);
+    let mut open_queries: VecDeque<u16> = VecDeque::with_capacity(MAX_OPEN_QUERIES);
     loop {
-        if let Some(moved) = moves.try_iter().last() {
-            match moved.socket() {
+        if let Some(new_source) = source_changes.try_iter().last() {
+            match new_source.socket() {
                 Ok(opened) => {
-                    (socket, source) = (opened, moved);
-                    awaited.clear();
+                    (socket, source) = (opened, new_source);
+                    open_queries.clear();
+                }
+                Err(error) => {
+                    tracing::warn!(
+                        address = %new_source.resolver, %error,
+                        "no socket for the new address of the resolver; the old address is queried"
+                    )
                 }
-                Err(error) => tracing::warn!(address = %moved.resolver, %error, "the resolver has no socket"),
             }
         }
-        let asked = SystemTime::now();
+        let query_time = SystemTime::now();
         let id = ids.random();
-        if awaited.len() == AWAITED {
-            awaited.pop_front();
+        if open_queries.len() == MAX_OPEN_QUERIES {
+            open_queries.pop_front();
         }
-        awaited.push_back(id);
+        open_queries.push_back(id);
         if let Ok(query) = build_query(id) {
-            // A query that is refused or lost is repeated at the next turn.
+            // A query that fails or is lost is followed by another one after the interval.
             let _ = socket.send(&query);
         }
         loop {
-            let left = EVERY.saturating_sub(asked.elapsed().unwrap_or(EVERY));
-            if left.is_zero() {
+            let remaining = QUERY_INTERVAL.saturating_sub(query_time.elapsed().unwrap_or(QUERY_INTERVAL));
+            if remaining.is_zero() {
                 break;
             }
-            socket.set_read_timeout(Some(left))?;
+            socket.set_read_timeout(Some(remaining))?;
             let length = match socket.recv(&mut buffer) {
                 Ok(length) => length,
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => continue,
                 Err(_) => {
-                    // Nobody listens there just now: wait for the next turn rather than spin.
-                    std::thread::sleep(left);
+                    // No resolver listens at the address: wait for the next query instead of spinning.
+                    std::thread::sleep(remaining);
                     continue;
                 }
             };
-            if let Ok((last, entries)) =
-                parse_answer(awaited.make_contiguous(), &buffer[..length], &source.zones)
+            if let Ok((answer_serial, entries)) =
+                parse_answer(open_queries.make_contiguous(), &buffer[..length], &source.zones)
             {
-                let news_is = is_newer_serial(last, serial);
+                let is_newer = is_newer_serial(answer_serial, serial);
                 let first = !std::mem::replace(&mut confirmed, true);
-                if news_is {
-                    serial = last;
+                if is_newer {
+                    serial = answer_serial;
                 }
-                if (news_is || (first && last == serial)) && !news(serial, news_is.then_some(entries)) {
+                if (is_newer || (first && answer_serial == serial))
+                    && !on_list(serial, is_newer.then_some(entries))
+                {
                     return Ok(());
                 }
             }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -1,5 +1,5 @@
-//! How one process of a softswitch takes the place of another: the listening socket that both hold, and the Unix
-//! socket on which they talk while both live.
+//! Handover from a running process to its successor: the listening socket that both processes share, and the Unix
+//! socket on which they exchange messages while both run.
 
 use std::collections::HashMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -20,25 +20,25 @@
 use crate::engine::{CallUid, HandoverState, Input, ListEntry, SiblingMessage};
 use crate::interface::Readiness;
 
-/// How long the other process may take for all that it hands over. It answers between two turns of its loop.
+/// Time for the whole handover. The predecessor replies between two iterations of its event loop.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes that may be handed over, and that may wait to be written.
+/// Maximum number of bytes of a handover, and of unsent bytes to the sibling process.
 const MAX_BUFFERED_BYTES: usize = 1 << 20;
-/// Its tokens count from here up to those of the operators' door.
+/// First poll token of the handover; its tokens end where those of the operators' server begin.
 const FIRST_TOKEN: usize = 1 << 61;
 const END_TOKEN: usize = 1 << 62;
 const LISTENER: Token = Token(FIRST_TOKEN);
 
-/// What is wrong with what the other process says.
+/// A line from the sibling process is not a valid message.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("not a message between two processes of a softswitch")]
+#[error("not a valid message of the handover protocol")]
 pub struct MessageError;
 
-/// The listening socket that this process inherited as the descriptor of this number. The number stays open beside
-/// it, and whether the socket blocks is the same for all who hold it.
+/// Duplicates the inherited listening socket with this descriptor number. The original descriptor stays open, and
+/// the non-blocking mode is shared by all processes that hold the socket.
 ///
 /// # Errors
-/// If there is no such descriptor, or it is no socket that listens.
+/// If there is no such descriptor, or it is not a socket with a local address.
 pub fn listener_from_fd(number: i32) -> io::Result<TcpListener> {
     let this = pidfd_open(getpid(), PidfdFlags::empty())?;
     let listener = TcpListener::from(pidfd_getfd(&this, number, PidfdGetfdFlags::empty())?);
@@ -46,20 +46,21 @@
     Ok(listener)
 }
 
-/// Where two processes meet that share this folder for temporary files and listen at this address.
+/// Path of the Unix socket of the handover, for processes that share this folder for temporary files and listen at
+/// this address.
 pub fn socket_path(folder: &Path, listen: SocketAddr) -> PathBuf {
     folder.join(format!("swiftlb-{listen}"))
 }
 
-fn json_line(say: &str, fields: Vec<(&str, JsonValue)>) -> Vec<u8> {
+fn json_line(name: &str, fields: Vec<(&str, JsonValue)>) -> Vec<u8> {
     let mut object: HashMap<String, JsonValue> = fields.into_iter().map(|(k, v)| (k.to_owned(), v)).collect();
-    object.insert("say".to_owned(), say.to_owned().into());
+    object.insert("say".to_owned(), name.to_owned().into());
     let mut line = JsonValue::from(object).stringify().unwrap_or_default().into_bytes();
     line.push(b'\n');
     line
 }
 
-/// A word as it is sent.
+/// Formats a message as one JSON line.
 pub fn format_message(message: &SiblingMessage) -> Vec<u8> {
     let call = |call: &CallUid| ("call", call.as_str().to_owned().into());
     match message {
@@ -68,14 +69,14 @@
         SiblingMessage::HandoverComplete { serial } => {
             json_line("whole", vec![("serial", f64::from(*serial).into())])
         }
-        SiblingMessage::HangUp { call: name, cause } => {
-            json_line("hangup", vec![call(name), ("cause", f64::from(*cause).into())])
+        SiblingMessage::HangUp { call: uid, cause } => {
+            json_line("hangup", vec![call(uid), ("cause", f64::from(*cause).into())])
         }
-        SiblingMessage::Ended { call: name, cut } => {
-            json_line("ended", vec![call(name), ("cut", (*cut).into())])
+        SiblingMessage::Ended { call: uid, cut } => {
+            json_line("ended", vec![call(uid), ("cut", (*cut).into())])
         }
-        SiblingMessage::Release { call: name, cut } => {
-            json_line("release", vec![call(name), ("cut", (*cut).into())])
+        SiblingMessage::Release { call: uid, cut } => {
+            json_line("release", vec![call(uid), ("cut", (*cut).into())])
         }
         SiblingMessage::Learned { topic, exchange, values } => {
             let values: Vec<JsonValue> = values.iter().map(|value| (*value).into()).collect();
@@ -86,16 +87,17 @@
             )
         }
         SiblingMessage::Exchange(entry) => {
-            // Exactly the moment that it was: another one would be another start.
-            let born = entry.started_at.and_then(|at| at.duration_since(UNIX_EPOCH).ok());
-            let born = born.map_or(JsonValue::Null, |span| span.as_nanos().to_string().into());
+            // In nanoseconds: a rounded time would look like another start of the exchange.
+            let started_at = entry.started_at.and_then(|at| at.duration_since(UNIX_EPOCH).ok());
+            let started_at =
+                started_at.map_or(JsonValue::Null, |since_epoch| since_epoch.as_nanos().to_string().into());
             let draining = entry.readiness == Readiness::Draining;
             let fields = vec![
                 ("name", entry.name.to_string().into()),
                 ("address", entry.address.to_string().into()),
                 ("number", f64::from(entry.number).into()),
                 ("zone", f64::from(entry.zone).into()),
-                ("born", born),
+                ("born", started_at),
                 ("draining", draining.into()),
             ];
             json_line("exchange", fields)
@@ -103,27 +105,29 @@
     }
 }
 
-/// Reads a word.
+/// Parses a message from one JSON line.
 ///
 /// # Errors
-/// If it is none.
+/// If the line is not a valid message.
 pub fn parse_message(line: &[u8]) -> Result<SiblingMessage, MessageError> {
     let text = std::str::from_utf8(line).map_err(|_| MessageError)?;
     let json = parse_json(text).map_err(|_| MessageError)?;
     let object = json.get::<HashMap<String, JsonValue>>().ok_or(MessageError)?;
     let field = |key: &str| object.get(key).ok_or(MessageError);
     let text = |key: &str| field(key)?.get::<String>().cloned().ok_or(MessageError);
-    let whole = |key: &str, most: f64| {
+    let integer = |key: &str, max: f64| {
         let number = field(key)?.get::<f64>().copied();
-        number.filter(|n| n.fract() == 0.0 && (0.0..=most).contains(n)).ok_or(MessageError)
+        number.filter(|n| n.fract() == 0.0 && (0.0..=max).contains(n)).ok_or(MessageError)
     };
     let flag = |key: &str| field(key)?.get::<bool>().copied().ok_or(MessageError);
     let call = || CallUid::parse(&text("call")?).ok_or(MessageError);
     Ok(match text("say")?.as_str() {
         "hello" => SiblingMessage::HandoverRequest,
         "serving" => SiblingMessage::Serving,
-        "whole" => SiblingMessage::HandoverComplete { serial: whole("serial", f64::from(u32::MAX))? as u32 },
-        "hangup" => SiblingMessage::HangUp { call: call()?, cause: whole("cause", 255.0)? as u8 },
+        "whole" => {
+            SiblingMessage::HandoverComplete { serial: integer("serial", f64::from(u32::MAX))? as u32 }
+        }
+        "hangup" => SiblingMessage::HangUp { call: call()?, cause: integer("cause", 255.0)? as u8 },
         "ended" => SiblingMessage::Ended { call: call()?, cut: flag("cut")? },
         "release" => SiblingMessage::Release { call: call()?, cut: flag("cut")? },
         "belief" => {
@@ -142,8 +146,8 @@
             SiblingMessage::Exchange(ListEntry {
                 name: text("name")?.into(),
                 address: text("address")?.parse().map_err(|_| MessageError)?,
-                number: whole("number", f64::from(u32::MAX))? as u32,
-                zone: whole("zone", f64::from(u16::MAX))? as u16,
+                number: integer("number", f64::from(u32::MAX))? as u32,
+                zone: integer("zone", f64::from(u16::MAX))? as u16,
                 started_at,
                 readiness: if flag("draining")? { Readiness::Draining } else { Readiness::Ready },
             })
@@ -152,19 +156,19 @@
     })
 }
 
-/// What another process has handed over, and the connection to it.
+/// Connection to the predecessor after it has sent its state.
 #[derive(Debug)]
 pub struct PredecessorConn {
     stream: blocking::UnixStream,
     lines: LineSplitter,
-    /// Words that came behind.
+    /// Messages received along with the state that are not part of it.
     other_messages: Vec<SiblingMessage>,
 }
 
-/// Asks the process that serves now, if there is one, to hand over.
+/// Requests a handover from the process that serves now and receives its state.
 ///
 /// # Errors
-/// If none is there, or what it says is not whole: then this process starts as if there were none.
+/// If no process serves, or its state is invalid or incomplete: then this process starts without it.
 pub fn request_handover(socket_path: &Path) -> io::Result<(PredecessorConn, HandoverState)> {
     let mut stream = blocking::UnixStream::connect(socket_path)?;
     let deadline = SystemTime::now() + HANDOVER_TIMEOUT;
@@ -172,9 +176,9 @@
     stream.write_all(&format_message(&SiblingMessage::HandoverRequest))?;
     let (mut state, mut lines, mut other_messages) =
         (HandoverState::default(), LineSplitter::default(), Vec::new());
-    let (mut whole, mut received_bytes, mut buffer) = (false, 0, vec![0; 16 * 1024]);
+    let (mut complete, mut received_bytes, mut buffer) = (false, 0, vec![0; 16 * 1024]);
     let invalid_data = || io::Error::new(ErrorKind::InvalidData, MessageError);
-    while !whole {
+    while !complete {
         let remaining = deadline.duration_since(SystemTime::now()).map_err(|_| ErrorKind::TimedOut)?;
         stream.set_read_timeout(Some(remaining.max(Duration::from_millis(1))))?;
         let length = stream.read(&mut buffer)?;
@@ -185,12 +189,12 @@
         let read = lines.push(&buffer[..length], |line| {
             let SplitLine::Complete(line) = line else { return ControlFlow::Break(()) };
             match parse_message(&line) {
-                Ok(message) if whole => other_messages.push(message),
+                Ok(message) if complete => other_messages.push(message),
                 Ok(SiblingMessage::Exchange(entry)) => state.list.push(entry),
                 Ok(SiblingMessage::Learned { topic, exchange, values }) => {
                     state.learned.push((topic, exchange, values))
                 }
-                Ok(SiblingMessage::HandoverComplete { serial }) => (state.serial, whole) = (serial, true),
+                Ok(SiblingMessage::HandoverComplete { serial }) => (state.serial, complete) = (serial, true),
                 Ok(message) => other_messages.push(message),
                 Err(MessageError) => return ControlFlow::Break(()),
             }
@@ -211,11 +215,11 @@
     token: Token,
     lines: LineSplitter,
     unsent: Vec<u8>,
-    /// It has said something.
-    has_spoken: bool,
+    /// Whether a message was received from it.
+    received_any: bool,
 }
 
-/// The meeting place and the other process, while there is one.
+/// The Unix socket for successors and the connection to the sibling process, while there is one.
 pub(super) struct Handover {
     socket_path: PathBuf,
     listener: Option<UnixListener>,
@@ -224,15 +228,15 @@
 }
 
 impl Handover {
-    /// Goes on with the process that has handed over, or waits for one that takes this one's place.
+    /// Continues the connection to the predecessor, or listens for a successor if there is no predecessor.
     pub(super) fn new(
         socket_path: PathBuf,
-        handed: Option<PredecessorConn>,
+        predecessor: Option<PredecessorConn>,
         registry: &Registry,
         inputs: &mut impl Extend<Input>,
     ) -> Self {
         let mut this = Self { socket_path, listener: None, sibling: None, last_id: 0 };
-        match handed {
+        match predecessor {
             Some(PredecessorConn { stream, lines, other_messages }) => {
                 inputs.extend(other_messages.into_iter().map(Input::SiblingMessage));
                 let sibling = stream.set_nonblocking(true).map(|()| UnixStream::from_std(stream));
@@ -245,14 +249,14 @@
         this
     }
 
-    /// Whether the poll means it by this token.
+    /// Whether this poll token belongs to the handover.
     pub(super) fn owns(token: Token) -> bool {
         (FIRST_TOKEN..END_TOKEN).contains(&token.0)
     }
 
-    /// Waits where the next process will ask. Without that place it would start as if this one were not there.
+    /// Listens for a successor. Without this socket, a successor would start without the state of this process.
     pub(super) fn listen(&mut self, registry: &Registry) {
-        // A file that a former process left is of no use to anyone.
+        // A socket file left behind by an earlier process would make the bind fail.
         let _ = std::fs::remove_file(&self.socket_path);
         let listener = UnixListener::bind(&self.socket_path).and_then(|mut listener| {
             registry.register(&mut listener, LISTENER, Interest::READABLE)?;
@@ -260,7 +264,9 @@
         });
         match listener {
             Ok(listener) => self.listener = Some(listener),
-            Err(error) => tracing::warn!(%error, "no process can take the socket_path of this one"),
+            Err(error) => {
+                tracing::warn!(%error, "cannot listen for a successor; the next process starts without a handover")
+            }
         }
     }
 
@@ -270,12 +276,12 @@
         let registered =
             registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE).is_ok();
         if registered {
-            self.sibling = Some(Sibling { stream, token, lines, unsent: Vec::new(), has_spoken: false });
+            self.sibling = Some(Sibling { stream, token, lines, unsent: Vec::new(), received_any: false });
         }
         registered
     }
 
-    /// The poll has something to say.
+    /// Handles an event of the poll.
     pub(super) fn handle_event(
         &mut self,
         token: Token,
@@ -284,8 +290,8 @@
     ) {
         if token == LISTENER {
             while let Some(Ok((stream, _))) = self.listener.as_ref().map(UnixListener::accept) {
-                // One at a time; who has said nothing yet has no place to lose.
-                if self.sibling.as_ref().is_none_or(|sibling| !sibling.has_spoken) {
+                // One sibling at a time; a connection on which nothing was received yet is replaced.
+                if self.sibling.as_ref().is_none_or(|sibling| !sibling.received_any) {
                     self.attach(stream, LineSplitter::default(), registry);
                 }
             }
@@ -296,14 +302,14 @@
             return;
         };
         let mut buffer = [0; 4 * 1024];
-        let gone = loop {
+        let disconnected = loop {
             match sibling.stream.read(&mut buffer) {
                 Ok(0) => break true,
                 Ok(length) => {
                     let read = sibling.lines.push(&buffer[..length], |line| {
                         let SplitLine::Complete(line) = line else { return ControlFlow::Break(()) };
                         let Ok(message) = parse_message(&line) else { return ControlFlow::Break(()) };
-                        sibling.has_spoken = true;
+                        sibling.received_any = true;
                         inputs.extend([Input::SiblingMessage(message)]);
                         ControlFlow::Continue(())
                     });
@@ -316,7 +322,7 @@
                 Err(_) => break true,
             }
         };
-        if gone {
+        if disconnected {
             self.disconnect(registry, inputs);
         } else {
             self.flush(registry, inputs);
@@ -325,13 +331,13 @@
 
     fn disconnect(&mut self, registry: &Registry, inputs: &mut impl Extend<Input>) {
         if self.sibling.take().is_some() {
-            // A process that had taken this one's place may have moved into the meeting place.
+            // A successor that has begun to serve has replaced the Unix socket of this process.
             self.listen(registry);
             inputs.extend([Input::SiblingDisconnected]);
         }
     }
 
-    /// Tells the other process.
+    /// Sends a message to the sibling process.
     pub(super) fn send(
         &mut self,
         message: &SiblingMessage,
@@ -344,7 +350,7 @@
             return self.disconnect(registry, inputs);
         }
         self.flush(registry, inputs);
-        // From here on a third process is to ask this one.
+        // This process serves now, so the next successor has to connect to it.
         if *message == SiblingMessage::Serving {
             self.listen(registry);
         }
--- a/src/net/jsonl.rs
+++ b/src/net/jsonl.rs
@@ -1,4 +1,4 @@
-//! The platform's JSON lines: what a line means, and how one is written. No sockets here.
+//! The platform's JSON lines protocol: parsing and formatting of lines, without sockets.
 
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -13,23 +13,23 @@
 use crate::engine::{CallUid, CallerMessage, ExchangeMessage, SetUp, duration_from_ms, duration_to_ms};
 use crate::interface::{LoadReport, Outcome, Reason};
 
-/// No message holds more bytes than this.
+/// Maximum length of a line, in bytes.
 pub const MAX_LINE_BYTES: usize = 16 * 1024;
 
-/// Longest wait at a processor that an exchange can mean: a spoilt figure must not shut it out for good.
-const LONGEST_WAIT_MS: f64 = 60_000.0;
+/// Longest wait at a processor that is accepted from an exchange: a wrong value must not exclude it for good.
+const MAX_WAIT_MS: f64 = 60_000.0;
 
-/// Cause of a normal end.
-const NORMAL: u8 = 16;
+/// Q.850 cause of normal clearing.
+const NORMAL_CLEARING: u8 = 16;
 
-/// What is wrong with a line.
+/// Why a line cannot be parsed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum LineError {
-    /// It is wrong, but the call is named that it is about.
-    #[error("malformed, of call {0:?}")]
+    /// The line is malformed, but the id of its call is readable.
+    #[error("malformed line for call {0:?}")]
     Malformed(CallUid),
-    /// It cannot be read.
-    #[error("malformed")]
+    /// The line is malformed, and no call id can be found in it.
+    #[error("malformed line without a call id")]
     Unreadable,
 }
 
@@ -38,26 +38,26 @@
 pub enum CallerLine {
     /// A set-up.
     SetUp(CallUid, SetUp),
-    /// A set-up given up, or a release.
+    /// The caller abandons a set-up or releases a call; with the cause.
     Stop(CallUid, u8),
-    /// A test.
+    /// A health check.
     Check(CallUid),
-    /// Something free that means nothing here.
+    /// A valid line that needs no action.
     Ignored,
 }
 
 /// A line from an exchange.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ExchangeLine {
-    /// The call stands.
+    /// The call is established; with the session description.
     Answered(CallUid, Option<Arc<str>>),
-    /// A release, before or after the answer.
+    /// A refusal before the answer, or a release after it.
     Stop(CallUid, Outcome, Reason),
-    /// State of the group.
+    /// State of the circuit group.
     Usage(LoadReport),
-    /// Answer to a test.
+    /// Reply to a probe: whether it passed, and the load report.
     Checked(bool, Option<LoadReport>),
-    /// Something free that means nothing here.
+    /// A valid line that needs no action.
     Ignored,
 }
 
@@ -69,7 +69,7 @@
     fields: Object,
 }
 
-/// A field that may be a string or a number, as text.
+/// Text of a field that may be a string or a number.
 fn text(fields: &Object, key: &str) -> Option<String> {
     match fields.get(key)? {
         JsonValue::String(text) => Some(text.clone()),
@@ -83,11 +83,11 @@
 }
 
 impl Line {
-    fn read(line: &[u8]) -> Result<Self, LineError> {
-        // What cannot be read as a whole may still name its call.
-        let lost = || find_call_uid(line).map_or(LineError::Unreadable, LineError::Malformed);
-        let text = std::str::from_utf8(line).map_err(|_| lost())?;
-        let Ok(JsonValue::Object(fields)) = parse_json(text) else { return Err(lost()) };
+    fn parse(line: &[u8]) -> Result<Self, LineError> {
+        // The call id may be readable even if the line is not valid JSON.
+        let malformed = || find_call_uid(line).map_or(LineError::Unreadable, LineError::Malformed);
+        let text = std::str::from_utf8(line).map_err(|_| malformed())?;
+        let Ok(JsonValue::Object(fields)) = parse_json(text) else { return Err(malformed()) };
         let uid = fields.get("uid").and_then(|v| v.get::<String>());
         let call = uid.and_then(|uid| CallUid::parse(uid)).ok_or(LineError::Unreadable)?;
         let kind = fields.get("kind").and_then(|v| v.get::<String>()).cloned();
@@ -112,7 +112,7 @@
     }
 }
 
-/// The call that a line names which cannot be read: malformed, or cut at the longest length.
+/// Finds the call id in a line that is not valid JSON, or in the start of one that is too long.
 pub fn find_call_uid(line: &[u8]) -> Option<CallUid> {
     let line = &line[..line.len().min(MAX_LINE_BYTES)];
     let at = line.windows(5).position(|w| w == b"\"uid\"")?;
@@ -121,53 +121,53 @@
     CallUid::parse(std::str::from_utf8(rest.get(..16)?).ok()?)
 }
 
-/// Reads a line from a caller.
+/// Parses a line from a caller.
 ///
 /// # Errors
-/// If it is malformed; the error names the call if the line does.
+/// If the line is malformed; the error contains the call id if it can be found.
 pub fn parse_caller_line(line: &[u8], received: SystemTime) -> Result<CallerLine, LineError> {
-    let line = Line::read(line)?;
+    let line = Line::parse(line)?;
     Ok(match line.kind.as_str() {
-        "launch" => CallerLine::SetUp(line.call, read_setup(&line, received)?),
-        "stop" => CallerLine::Stop(line.call, line.cause().unwrap_or(NORMAL)),
+        "launch" => CallerLine::SetUp(line.call, parse_set_up(&line, received)?),
+        "stop" => CallerLine::Stop(line.call, line.cause().unwrap_or(NORMAL_CLEARING)),
         "check" => CallerLine::Check(line.call),
         _ => CallerLine::Ignored,
     })
 }
 
-fn read_setup(line: &Line, received: SystemTime) -> Result<SetUp, LineError> {
-    let wrong = || LineError::Malformed(line.call);
+fn parse_set_up(line: &Line, received: SystemTime) -> Result<SetUp, LineError> {
+    let malformed = || LineError::Malformed(line.call);
     let meta = line.meta()?;
-    let extras = text(meta, "extras").ok_or_else(wrong)?;
-    // A figure that is there must be one that a caller can mean: what is made up for a wrong one would go to
-    // an exchange as if it were good.
-    let figure = |name: &str, range: std::ops::RangeInclusive<f64>| {
+    let extras = text(meta, "extras").ok_or_else(malformed)?;
+    // An invalid value is an error, because a default in its place would be sent to an exchange as if it were valid.
+    let extra = |name: &str, range: std::ops::RangeInclusive<f64>| {
         let pair = extras.split(';').filter_map(|pair| pair.split_once(':')).find(|(key, _)| *key == name);
-        let value = pair.map(|(_, value)| value.trim().parse::<f64>().map_err(|_| wrong())).transpose()?;
+        let value =
+            pair.map(|(_, value)| value.trim().parse::<f64>().map_err(|_| malformed())).transpose()?;
         match value {
-            Some(value) if !range.contains(&value) || value.fract() != 0.0 => Err(wrong()),
+            Some(value) if !range.contains(&value) || value.fract() != 0.0 => Err(malformed()),
             value => Ok(value),
         }
     };
-    let flag = |name: &str| Ok(figure(name, 0.0..=1.0)?.is_some_and(|n| n != 0.0));
+    let flag = |name: &str| Ok(extra(name, 0.0..=1.0)?.is_some_and(|n| n != 0.0));
     let transit = flag("transit")?;
-    let via = figure("via", -1.0..=65_535.0)?.filter(|n| *n >= 0.0).map(|n| n as u32);
+    let via = extra("via", -1.0..=65_535.0)?.filter(|n| *n >= 0.0).map(|n| n as u32);
     Ok(SetUp {
-        class: text(meta, "class").ok_or_else(wrong)?,
+        class: text(meta, "class").ok_or_else(malformed)?,
         received,
-        remaining: Some(duration_from_ms(number(meta, "left").filter(|n| *n >= 0.0).ok_or_else(wrong)?)),
-        called_number: Some(read_key(meta).ok_or_else(wrong)?),
-        dest: figure("dest", 0.0..=65_535.0)?.ok_or_else(wrong)? as u32,
-        width: figure("width", 1.0..=65_535.0)?,
+        remaining: Some(duration_from_ms(number(meta, "left").filter(|n| *n >= 0.0).ok_or_else(malformed)?)),
+        called_number: Some(parse_called_number(meta).ok_or_else(malformed)?),
+        dest: extra("dest", 0.0..=65_535.0)?.ok_or_else(malformed)? as u32,
+        width: extra("width", 1.0..=65_535.0)?,
         transit_from: transit.then(|| via.unwrap_or(u32::MAX)),
         advised_route: if transit { None } else { via },
         was_cut: flag("again")?,
-        description: Some(line.body()?.ok_or_else(wrong)?),
+        description: Some(line.body()?.ok_or_else(malformed)?),
     })
 }
 
-/// The number called, which must go on as it came: a JSON number only where it is whole and exact.
-fn read_key(meta: &Object) -> Option<String> {
+/// The number called. It is passed on unchanged, so a JSON number is accepted only if it is an exact integer.
+fn parse_called_number(meta: &Object) -> Option<String> {
     match meta.get("key")? {
         JsonValue::String(key) => Some(key.clone()),
         JsonValue::Number(key) if key.fract() == 0.0 && (0.0..9e15).contains(key) => Some(key.to_string()),
@@ -175,40 +175,43 @@
     }
 }
 
-/// Reads a line from an exchange; a report has its values in the order of these names.
+/// Parses a line from an exchange. A load report has its values in the order of `report_field_names`.
 ///
 /// # Errors
-/// If it is malformed, or nothing that an exchange says: an answer without a description, a release without
-/// a cause, an unknown type.
-pub fn parse_exchange_line(line: &[u8], report: &[String]) -> Result<ExchangeLine, LineError> {
-    let line = Line::read(line)?;
-    let wrong = || LineError::Malformed(line.call);
+/// If the line is malformed, is an answer without a session description or a release without a cause, or has an
+/// unknown kind.
+pub fn parse_exchange_line(line: &[u8], report_field_names: &[String]) -> Result<ExchangeLine, LineError> {
+    let line = Line::parse(line)?;
+    let malformed = || LineError::Malformed(line.call);
     Ok(match line.kind.as_str() {
-        "running" => ExchangeLine::Answered(line.call, Some(line.body()?.ok_or_else(wrong)?)),
+        "running" => ExchangeLine::Answered(line.call, Some(line.body()?.ok_or_else(malformed)?)),
         "stop" => {
-            line.cause().ok_or_else(wrong)?;
-            let (outcome, reason) = read_end(&line);
+            line.cause().ok_or_else(malformed)?;
+            let (outcome, reason) = parse_outcome(&line);
             ExchangeLine::Stop(line.call, outcome, reason)
         }
-        "usage" => read_report(&line, report).map_or(ExchangeLine::Ignored, ExchangeLine::Usage),
-        "checked" => ExchangeLine::Checked(line.cause() == Some(1), read_report(&line, report)),
+        "usage" => {
+            parse_load_report(&line, report_field_names).map_or(ExchangeLine::Ignored, ExchangeLine::Usage)
+        }
+        "checked" => {
+            ExchangeLine::Checked(line.cause() == Some(1), parse_load_report(&line, report_field_names))
+        }
         "staging" | "stopped" => ExchangeLine::Ignored,
-        _ => return Err(wrong()),
+        _ => return Err(malformed()),
     })
 }
 
-/// How a release ends a call. Which of them stand for an end before the answer and which for one after it is
-/// for the engine to say, which knows whether there was one.
-fn read_end(line: &Line) -> (Outcome, Reason) {
+/// Outcome and reason of a release. Whether the call was established before is known to the engine only.
+fn parse_outcome(line: &Line) -> (Outcome, Reason) {
     let outcome = match line.cause() {
-        Some(NORMAL) => Outcome::Completed,
+        Some(NORMAL_CLEARING) => Outcome::Completed,
         Some(34) => Outcome::Congested,
         Some(41) => Outcome::Reset,
         Some(102) => Outcome::NotSent,
         _ => Outcome::Busy,
     };
     let meta = line.meta().ok();
-    let waited = meta.and_then(|meta| number(meta, "waited")).unwrap_or(0.0).clamp(0.0, LONGEST_WAIT_MS);
+    let waited = meta.and_then(|meta| number(meta, "waited")).unwrap_or(0.0).clamp(0.0, MAX_WAIT_MS);
     let reason = match meta.and_then(|meta| text(meta, "note")).as_deref() {
         Some("group_full") => Reason::NoCircuit,
         Some("tandem_refused") => Reason::CrankBack,
@@ -220,22 +223,22 @@
     (outcome, reason)
 }
 
-/// The values of `load`, such as `spare:27;total:137`. What is missing is no number, which the module skips.
-fn read_report(line: &Line, names: &[String]) -> Option<LoadReport> {
+/// The values of `load`, such as `spare:27;total:137`. A missing value becomes NaN, which the decision module skips.
+fn parse_load_report(line: &Line, field_names: &[String]) -> Option<LoadReport> {
     let load = text(line.meta().ok()?, "load")?;
     let value = |name: &String| {
         let pair = load.split(';').filter_map(|pair| pair.split_once(':')).find(|(key, _)| key == name);
         pair.and_then(|(_, value)| value.trim().parse().ok()).unwrap_or(f64::NAN)
     };
-    Some(names.iter().map(value).collect())
+    Some(field_names.iter().map(value).collect())
 }
 
-/// A string as JSON.
+/// Formats a string as JSON.
 fn quoted(text: &str) -> String {
     JsonValue::String(text.to_owned()).stringify().unwrap_or_default()
 }
 
-fn line(kind: &str, call: CallUid, meta: &str, cause: Option<u8>, body: Option<&str>) -> Vec<u8> {
+fn format_line(kind: &str, call: CallUid, meta: &str, cause: Option<u8>, body: Option<&str>) -> Vec<u8> {
     let mut line = format!(r#"{{"kind":"{kind}","uid":"{}","meta":{{{meta}}}"#, call.as_str());
     if let Some(cause) = cause {
         let _ = write!(line, r#","reason":{cause}"#);
@@ -247,79 +250,89 @@
     line.into_bytes()
 }
 
-fn whole_millis(span: Duration) -> u64 {
-    duration_to_ms(span).round() as u64
+fn rounded_ms(duration: Duration) -> u64 {
+    duration_to_ms(duration).round() as u64
 }
 
-/// A line to a caller.
-pub fn format_caller_message(call: CallUid, word: &CallerMessage) -> Vec<u8> {
-    match word {
-        CallerMessage::Answered { description } => line("running", call, "", None, description.as_deref()),
+/// Formats a message to a caller as one line.
+pub fn format_caller_message(call: CallUid, message: &CallerMessage) -> Vec<u8> {
+    match message {
+        CallerMessage::Answered { description } => {
+            format_line("running", call, "", None, description.as_deref())
+        }
         CallerMessage::Refused { retry_after } if retry_after.is_zero() => {
-            line("stop", call, "", Some(34), None)
+            format_line("stop", call, "", Some(34), None)
         }
         CallerMessage::Refused { retry_after } => {
-            let retry_after = format!(r#""wait":"{}""#, whole_millis(*retry_after));
-            line("stop", call, &retry_after, Some(34), None)
+            let retry_after = format!(r#""wait":"{}""#, rounded_ms(*retry_after));
+            format_line("stop", call, &retry_after, Some(34), None)
+        }
+        CallerMessage::Failed { busy: true } => format_line("stop", call, "", Some(17), None),
+        CallerMessage::Failed { busy: false } => format_line("stop", call, "", Some(41), None),
+        CallerMessage::Released { cut } => {
+            format_line("stop", call, "", Some(if *cut { 41 } else { NORMAL_CLEARING }), None)
         }
-        CallerMessage::Failed { busy: true } => line("stop", call, "", Some(17), None),
-        CallerMessage::Failed { busy: false } => line("stop", call, "", Some(41), None),
-        CallerMessage::Released { cut } => line("stop", call, "", Some(if *cut { 41 } else { NORMAL }), None),
         CallerMessage::HealthCheckResult { passed } => {
-            line("checked", call, "", Some((*passed).into()), None)
+            format_line("checked", call, "", Some((*passed).into()), None)
         }
     }
 }
 
-/// A set-up as a caller of the platform writes it, without its line feed.
-pub fn format_set_up(call: CallUid, class: &str, left: Duration, key: &str, dest: u32) -> String {
+/// Formats a set-up as a caller sends it, without the line feed.
+pub fn format_set_up(
+    call: CallUid,
+    class: &str,
+    remaining: Duration,
+    called_number: &str,
+    dest: u32,
+) -> String {
     let meta = format!(
         r#""class":{},"left":"{}","key":{},"extras":"dest:{dest};width:1;via:-1""#,
         quoted(class),
-        whole_millis(left),
-        quoted(key)
+        rounded_ms(remaining),
+        quoted(called_number)
     );
-    let mut line = String::from_utf8(line("launch", call, &meta, None, Some(""))).unwrap_or_default();
+    let mut line = String::from_utf8(format_line("launch", call, &meta, None, Some(""))).unwrap_or_default();
     line.truncate(line.trim_end().len());
     line
 }
 
-/// A line to an exchange.
-pub fn format_exchange_message(call: CallUid, word: &ExchangeMessage) -> Vec<u8> {
-    match word {
+/// Formats a message to an exchange as one line.
+pub fn format_exchange_message(call: CallUid, message: &ExchangeMessage) -> Vec<u8> {
+    match message {
         ExchangeMessage::SetUp { class, called_number, remaining, description } => {
             let mut meta = format!(r#""class":{}"#, quoted(class));
             if let Some(called_number) = called_number {
                 let _ = write!(meta, r#","key":{}"#, quoted(called_number));
             }
-            let _ = write!(meta, r#","left":"{}""#, whole_millis(*remaining));
-            line("launch", call, &meta, None, description.as_deref())
+            let _ = write!(meta, r#","left":"{}""#, rounded_ms(*remaining));
+            format_line("launch", call, &meta, None, description.as_deref())
         }
-        ExchangeMessage::Cancel => line("stop", call, "", Some(NORMAL), None),
-        ExchangeMessage::Release { cause } => line("stop", call, "", Some(*cause), None),
-        ExchangeMessage::Probe => line("check", call, "", Some(1), None),
+        ExchangeMessage::Cancel => format_line("stop", call, "", Some(NORMAL_CLEARING), None),
+        ExchangeMessage::Release { cause } => format_line("stop", call, "", Some(*cause), None),
+        ExchangeMessage::Probe => format_line("check", call, "", Some(1), None),
     }
 }
 
-/// Cuts a stream of bytes into lines, and holds no more than the longest one.
+/// Splits a stream of bytes into lines; it buffers no more than one line of the maximum length.
 #[derive(Debug, Default)]
 pub struct LineSplitter {
     buffer: Vec<u8>,
-    /// The rest of an oversized line is passed over.
+    /// Whether the rest of a line that is too long is being skipped.
     skipping: bool,
 }
 
-/// A line, or the start of one that is too long.
+/// A complete line, or the start of one that is too long.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SplitLine {
-    /// A whole line, without its line feed.
+    /// A complete line, without its line feed.
     Complete(Vec<u8>),
     /// The first bytes of one that is too long.
     TooLong(Vec<u8>),
 }
 
 impl LineSplitter {
-    /// Takes what has come and hands on each line that it completes, until one breaks it off.
+    /// Adds received bytes and calls `each` for every line that they complete, until `each` breaks off.
     pub fn push(
         &mut self,
         mut bytes: &[u8],
@@ -340,16 +353,16 @@
                 }
             }
             if end.is_some() {
-                let whole = std::mem::take(&mut self.buffer);
-                if !std::mem::take(&mut self.skipping) && !whole.trim_ascii().is_empty() {
-                    each(SplitLine::Complete(whole))?;
+                let line = std::mem::take(&mut self.buffer);
+                if !std::mem::take(&mut self.skipping) && !line.trim_ascii().is_empty() {
+                    each(SplitLine::Complete(line))?;
                 }
             }
         }
         ControlFlow::Continue(())
     }
 
-    /// Whether a line has begun that has not ended.
+    /// Whether an incomplete line is buffered.
     pub fn has_partial_line(&self) -> bool {
         self.skipping || !self.buffer.is_empty()
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -406,7 +406,7 @@
             list.is_none_or(|list| send(Input::List(list))) && send(Input::ListConfirmed { serial })
         };
         if let Err(error) = dns::follow_list(source, serial, seed, &source_changes, on_list) {
-            tracing::error!(%error, "no socket for the resolver; the list of exchanges is no longer updated");
+            tracing::error!(%error, "cannot query the resolver; the list of exchanges is no longer updated");
         }
     };
     // The DNS message parser keeps its working data on the stack, so this thread needs a larger one.
--- a/src/ops/fleet.rs
+++ b/src/ops/fleet.rs
@@ -1,55 +1,55 @@
-//! What one softswitch knows of the fleet at this moment, as JSON for consoles: itself, and each exchange.
+//! Current state of the fleet as one softswitch knows it: itself and each exchange, formatted as JSON for consoles.
 
 use std::fmt::Write;
 use std::time::Duration;
 
 use tinyjson::JsonValue;
 
-/// An exchange as it is exchange from here.
+/// State of one exchange, as this softswitch knows it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExchangeState {
     /// Its number.
     pub number: u32,
     /// Its name.
     pub name: String,
-    /// What the list says: `ready` or `draining`.
+    /// Readiness according to the list: `ready` or `draining`.
     pub readiness: &'static str,
-    /// The way to it: `up`, `opening`, `down`, or `own` for the own exchange.
+    /// State of the connection to it: `up`, `opening`, `down`, or `own` for the home exchange.
     pub connection: &'static str,
-    /// Free circuits of the group and its size, if it ever told.
+    /// Free circuits and size of the circuit group to it, if it ever reported them.
     pub group: Option<(u32, u32)>,
-    /// Time since something was heard on the way.
+    /// Time since data was last received from it.
     pub since_heard: Option<Duration>,
-    /// Time that a set-up is expected to take.
+    /// Expected set-up time.
     pub expected_delay: Duration,
-    /// Attempts out there.
+    /// Open attempts at this exchange.
     pub open_attempts: usize,
-    /// Calls that stand there.
+    /// Established calls at this exchange.
     pub established_calls: usize,
-    /// Calls of every class are kept from it.
+    /// Whether calls of all classes avoid it.
     pub avoided: bool,
 }
 
-/// Everything that a console is shown of one softswitch.
+/// State of one softswitch and of all exchanges that it knows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
     /// Name of the softswitch.
     pub softswitch: String,
-    /// Number of its own exchange.
+    /// Number of its home exchange.
     pub home: Option<u32>,
     /// Unix time in microseconds.
     pub at_us: u64,
     /// Time since its process started.
     pub uptime: Duration,
-    /// Callers are sent away.
+    /// Whether it is draining.
     pub draining: bool,
-    /// Calls that wait for an answer, and calls that stand.
+    /// Numbers of open and of established calls.
     pub calls: (usize, usize),
-    /// Answered, refused and failed since the start.
+    /// Numbers of calls answered, refused and failed since the start.
     pub totals: (u64, u64, u64),
-    /// Refusals since the start, by reason.
+    /// Refused calls since the start, by reason.
     pub refusals: Vec<(&'static str, u64)>,
-    /// The exchanges, by number.
+    /// The exchanges, ordered by number.
     pub exchanges: Vec<ExchangeState>,
 }
 
@@ -58,7 +58,7 @@
 }
 
 impl Fleet {
-    /// As one JSON object. Times are in ms unless the key says otherwise; what is not known is null.
+    /// Formats the state as one JSON object. Times are in ms unless the key says otherwise; unknown values are null.
     pub fn to_json(&self) -> String {
         let number = |n: Option<u32>| n.map_or("null".to_owned(), |n| n.to_string());
         let mut text = format!(
@@ -82,11 +82,13 @@
         text.push_str("},\"exchanges\":[");
         for (i, exchange) in self.exchanges.iter().enumerate() {
             let comma = if i > 0 { "," } else { "" };
-            let heard = exchange.since_heard.map_or("null".to_owned(), |heard| heard.as_millis().to_string());
+            let since_heard = exchange
+                .since_heard
+                .map_or("null".to_owned(), |since_heard| since_heard.as_millis().to_string());
             let _ = write!(
                 text,
                 "{comma}{{\"exchange\":{},\"name\":{},\"listing\":\"{}\",\"way\":\"{}\",\"free\":{},\"total\":{},\
-                 \"heard_ms\":{heard},\"expected_ms\":{},\"out\":{},\"standing\":{},\"avoided\":{}}}",
+                 \"heard_ms\":{since_heard},\"expected_ms\":{},\"out\":{},\"standing\":{},\"avoided\":{}}}",
                 exchange.number,
                 quoted(&exchange.name),
                 exchange.readiness,
--- a/src/ops/metrics.rs
+++ b/src/ops/metrics.rs
@@ -1,69 +1,69 @@
-//! The figures, counted from the start of the process and written as Prometheus text when they are fetched.
+//! Metrics: counters since the start of the process, formatted as Prometheus text when they are fetched.
 
 use std::fmt::Write;
 
-/// How the calls of one class have ended.
+/// Number of calls of one class by result.
 #[derive(Clone, Debug, Default)]
-struct Ended {
+struct CallCounts {
     class: String,
     completed: u64,
     rejected: u64,
     failed: u64,
 }
 
-/// Everything that is counted. The reducer owns it.
+/// All counters; the reducer owns them.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
-    classes: Vec<Ended>,
+    classes: Vec<CallCounts>,
     attempts: u64,
-    /// Refusals by reason, in the order in which reasons first came.
+    /// Refused calls by reason, in the order in which the reasons first occurred.
     refusals: Vec<(&'static str, u64)>,
 }
 
-/// What holds at this moment.
+/// Current values for the gauges.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// Calls taken that have not ended: they wait for an answer or stand.
+    /// Accepted calls that have not ended: open or established.
     pub pending: usize,
-    /// Listed exchanges.
+    /// Exchanges in the list.
     pub members: usize,
-    /// Those of them that no call goes to now.
+    /// Listed exchanges that receive no calls now.
     pub unavailable: usize,
 }
 
 impl Metrics {
-    /// Classes of which figures are written from 0 on; one that was there keeps its own.
+    /// Adds classes, so that their counters are reported from 0 on; the counters of known classes are kept.
     pub fn add_classes(&mut self, classes: impl Iterator<Item = String>) {
         for class in classes {
-            self.of(&class);
+            self.class_counts(&class);
         }
     }
 
-    fn of(&mut self, class: &str) -> &mut Ended {
-        let place = self.classes.iter().position(|known| known.class == class);
-        let place = place.unwrap_or_else(|| {
-            self.classes.push(Ended { class: class.to_owned(), ..Ended::default() });
+    fn class_counts(&mut self, class: &str) -> &mut CallCounts {
+        let index = self.classes.iter().position(|counts| counts.class == class);
+        let index = index.unwrap_or_else(|| {
+            self.classes.push(CallCounts { class: class.to_owned(), ..CallCounts::default() });
             self.classes.len() - 1
         });
-        &mut self.classes[place]
+        &mut self.classes[index]
     }
 
-    /// A call of this class was served: it stands.
+    /// Counts a call of this class that was established.
     pub fn count_completed(&mut self, class: &str) {
-        self.of(class).completed += 1;
+        self.class_counts(class).completed += 1;
     }
 
-    /// A call of this class was refused.
+    /// Counts a refused call of this class.
     pub fn count_rejected(&mut self, class: &str) {
-        self.of(class).rejected += 1;
+        self.class_counts(class).rejected += 1;
     }
 
-    /// A call of this class failed.
+    /// Counts a failed call of this class.
     pub fn count_failed(&mut self, class: &str) {
-        self.of(class).failed += 1;
+        self.class_counts(class).failed += 1;
     }
 
-    /// A call was refused for this reason.
+    /// Counts a refusal by its reason.
     pub fn count_refusal(&mut self, reason: &'static str) {
         match self.refusals.iter_mut().find(|(known, _)| *known == reason) {
             Some((_, count)) => *count += 1,
@@ -71,60 +71,75 @@
         }
     }
 
-    /// Refusals since the start, by reason.
+    /// Refused calls since the start, by reason.
     pub fn refusals(&self) -> Vec<(&'static str, u64)> {
         let mut refusals = self.refusals.clone();
         refusals.sort_unstable();
         refusals
     }
 
-    /// Calls of all classes that were answered, refused and failed since the start.
+    /// Numbers of calls of all classes that were answered, refused and failed since the start.
     pub fn totals(&self) -> (u64, u64, u64) {
-        let sum = |of: fn(&Ended) -> u64| self.classes.iter().map(of).sum();
+        let sum = |field: fn(&CallCounts) -> u64| self.classes.iter().map(field).sum();
         (sum(|c| c.completed), sum(|c| c.rejected), sum(|c| c.failed))
     }
 
-    /// So many more set-ups were written whole to exchanges.
-    pub fn count_attempts(&mut self, more: u64) {
-        self.attempts += more;
+    /// Counts set-ups that were completely written to exchanges.
+    pub fn count_attempts(&mut self, count: u64) {
+        self.attempts += count;
     }
 
-    /// The text of all figures.
-    pub fn prometheus_text(&self, now: Gauges) -> String {
+    /// All metrics in the Prometheus text format.
+    pub fn prometheus_text(&self, gauges: Gauges) -> String {
         let mut text = String::new();
-        let mut head = |name: &str, kind: &str, help: &str, samples: &[(String, u64)]| {
+        let mut write_metric = |name: &str, kind: &str, help: &str, samples: &[(String, u64)]| {
             let _ = writeln!(text, "# HELP svc_{name} {help}\n# TYPE svc_{name} {kind}");
             for (labels, value) in samples {
                 let _ = writeln!(text, "svc_{name}{labels} {value}");
             }
         };
-        let ended: Vec<(String, u64)> = self
+        let results: Vec<(String, u64)> = self
             .classes
             .iter()
             .flat_map(|class| {
-                let results =
+                let counts =
                     [("completed", class.completed), ("rejected", class.rejected), ("failed", class.failed)];
-                let lane = escaped(&class.class);
-                results.map(|(result, n)| (format!(r#"{{lane="{lane}",result="{result}"}}"#), n))
+                let lane = escape_label(&class.class);
+                counts.map(|(result, n)| (format!(r#"{{lane="{lane}",result="{result}"}}"#), n))
             })
             .collect();
-        let one = |value| [(String::new(), value)];
-        head("downstream_requests", "counter", "Calls served, refused and failed, by class.", &ended);
-        head("upstream_requests", "counter", "Set-ups written whole to exchanges.", &one(self.attempts));
-        head(
+        let unlabelled = |value| [(String::new(), value)];
+        write_metric(
+            "downstream_requests",
+            "counter",
+            "Calls served, refused and failed, by class.",
+            &results,
+        );
+        write_metric(
+            "upstream_requests",
+            "counter",
+            "Set-ups written whole to exchanges.",
+            &unlabelled(self.attempts),
+        );
+        write_metric(
             "pending",
             "gauge",
             "Calls taken that have not ended: they wait or stand.",
-            &one(now.pending as u64),
+            &unlabelled(gauges.pending as u64),
+        );
+        write_metric("members", "gauge", "Exchanges in the list.", &unlabelled(gauges.members as u64));
+        let unavailable = unlabelled(gauges.unavailable as u64);
+        write_metric(
+            "members_unavailable",
+            "gauge",
+            "Listed exchanges that no call goes to now.",
+            &unavailable,
         );
-        head("members", "gauge", "Exchanges in the list.", &one(now.members as u64));
-        let unavailable = one(now.unavailable as u64);
-        head("members_unavailable", "gauge", "Listed exchanges that no call goes to now.", &unavailable);
         text
     }
 }
 
-/// A label's value as the text format wants it.
-fn escaped(value: &str) -> String {
+/// Escapes a label value for the text format.
+fn escape_label(value: &str) -> String {
     value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
