--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,4 @@
-//! What a softswitch is told at its start: one JSON file, decoded straight into the module's own `Settings`.
+//! The platform's configuration: one JSON file, decoded into [`Config`] and the `Settings` of the decision module.
 
 use std::collections::HashMap;
 use std::net::{AddrParseError, SocketAddr};
@@ -11,84 +11,84 @@
 use crate::engine::{ListEntry, duration_from_ms};
 use crate::interface::{Class, LoadReportMode, Readiness, ReportField, Settings, Tenant};
 
-/// What is wrong with a configuration.
+/// Why a configuration is rejected.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The file cannot be read.
-    #[error("cannot read the configuration: {0}")]
+    #[error("cannot read the configuration file: {0}")]
     Unreadable(#[from] std::io::Error),
-    /// It is not JSON, or nested deeper than any message is.
-    #[error("not JSON: {0}")]
+    /// It is not JSON, or nested too deep.
+    #[error("the configuration is not valid JSON: {0}")]
     NotJson(String),
-    /// A key is missing or of another type.
-    #[error("key {0} is missing or of the wrong type")]
+    /// A key is missing, or its value has the wrong type or is out of range.
+    #[error("key {0} is missing, or its value has the wrong type or is out of range")]
     Key(String),
-    /// A value makes no sense.
-    #[error("key {key} has the value '{value}', which is not one of the known words")]
+    /// A text is not one of the values that its key accepts.
+    #[error("key {key} does not accept the value '{value}'")]
     UnknownValue {
-        /// The key.
+        /// The key, with the path to it.
         key: String,
-        /// Its value.
+        /// The value.
         value: String,
     },
-    /// An address cannot be read.
-    #[error("not an address: {0}")]
+    /// An address is invalid.
+    #[error("expected an IP address and a port: {0}")]
     Address(#[from] AddrParseError),
-    /// A hexadecimal number cannot be read.
-    #[error("not a hexadecimal number: {0}")]
+    /// The seed is invalid.
+    #[error("the seed is not a hexadecimal number of 64 bits: {0}")]
     Hex(#[from] ParseIntError),
 }
 
-/// Everything that a softswitch is told.
+/// The configuration of a softswitch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// Its name.
+    /// Name of the softswitch.
     pub name: String,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub listen: SocketAddr,
-    /// Where operators connect, if anywhere.
+    /// Address that operators connect to, if any.
     pub operator: Option<SocketAddr>,
-    /// Seed of its random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// File descriptors that it may hold.
+    /// Maximum number of file descriptors.
     pub max_sockets: usize,
     /// Address of the resolver.
     pub resolver: SocketAddr,
-    /// Number of the last event that the list of the start holds.
+    /// Serial of the initial list of exchanges.
     pub list_serial: u32,
-    /// The exchanges of the start.
+    /// The initial list of exchanges.
     pub exchanges: Vec<ListEntry>,
-    /// What the decisions are told.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Names of the classes, in the order of `settings.classes`, and how long a caller of each waits at most.
+    /// Names of the classes, in the order of `settings.classes`, and the longest time that a caller of each waits.
     pub classes: Vec<(String, Duration)>,
     /// Names of the zones.
     pub zones: Vec<String>,
     /// Names of the values of a load report, in the order of `settings.report_fields`.
     pub report_field_names: Vec<String>,
-    /// How long a connection to an exchange may take to come up.
+    /// Time for establishing a connection to an exchange.
     pub connect_timeout: Duration,
 }
 
 impl Config {
-    /// Reads the file at this path.
+    /// Reads the configuration file at this path.
     ///
     /// # Errors
-    /// If it cannot be read or makes no sense; the error says why.
+    /// If the file cannot be read or is invalid; the error says why.
     pub fn load(path: &str) -> Result<Self, ConfigError> {
         Self::parse(&std::fs::read_to_string(path)?)
     }
 
-    /// Decodes a configuration.
+    /// Parses a configuration.
     ///
     /// # Errors
-    /// If something that a softswitch cannot do without is missing or makes no sense.
+    /// If a required key is missing or a value is invalid.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let json = parse_json(text).map_err(ConfigError::NotJson)?;
         let top = JsonNode { path: String::new(), value: &json };
         let settings = top.get("settings")?;
         let known = top.get("known")?;
-        let zones: Vec<String> = settings.get("zones")?.texts()?;
+        let zones: Vec<String> = settings.get("zones")?.strings()?;
         let classes = settings.get("classes")?.items()?;
         Ok(Self {
             name: top.text("name")?,
@@ -101,33 +101,33 @@
             max_sockets: top.get("limits")?.number("sockets")? as usize,
             resolver: top.text("names")?.parse()?,
             list_serial: known.number("n")? as u32,
-            exchanges: read_known(&known, &zones)?,
+            exchanges: parse_exchanges(&known, &zones)?,
             classes: classes
                 .iter()
                 .map(|c| Ok((c.text("name")?, duration_from_ms(c.number("hardLimitMs")?))))
                 .collect::<Result<_, ConfigError>>()?,
-            report_field_names: settings.get("report")?.get("fields")?.texts()?,
+            report_field_names: settings.get("report")?.get("fields")?.strings()?,
             connect_timeout: duration_from_ms(settings.get("policyLimits")?.number("connectTimeoutMs")?),
             zones,
-            settings: read_settings(&settings)?,
+            settings: parse_settings(&settings)?,
         })
     }
 }
 
-/// Deepest nesting of any message or configuration. The parser recurses, and a line of brackets from a
-/// hostile peer would otherwise run a small stack over, which ends the whole process.
-const DEEPEST: usize = 24;
+/// Maximum nesting of messages and configurations. The parser recurses, so a line of brackets from a hostile sender
+/// would otherwise overflow the small stack of a thread and abort the process.
+const MAX_DEPTH: usize = 24;
 
-/// Parses JSON that may come from anyone.
+/// Parses JSON from an untrusted source.
 ///
 /// # Errors
 /// If it is malformed or nested too deep.
 pub fn parse_json(text: &str) -> Result<JsonValue, String> {
-    parse_json_to_depth(DEEPEST, text)
+    parse_json_to_depth(MAX_DEPTH, text)
 }
 
-/// The same with another bound, for files that are read on a large stack.
-pub(crate) fn parse_json_to_depth(deepest: usize, text: &str) -> Result<JsonValue, String> {
+/// Like [`parse_json`], with another maximum nesting, for files that are parsed on a large stack.
+pub(crate) fn parse_json_to_depth(max_depth: usize, text: &str) -> Result<JsonValue, String> {
     let (mut depth, mut in_string, mut escaped) = (0_usize, false, false);
     for byte in text.bytes() {
         match byte {
@@ -136,7 +136,7 @@
             b'"' => in_string = !in_string,
             b'[' | b'{' if !in_string => {
                 depth += 1;
-                if depth > deepest {
+                if depth > max_depth {
                     return Err("nested too deep".to_owned());
                 }
             }
@@ -147,52 +147,52 @@
     text.parse::<JsonValue>().map_err(|error| error.to_string())
 }
 
-/// A value and the path that leads to it, for errors that say where.
+/// A JSON value and the path to it, which errors report.
 pub(crate) struct JsonNode<'a> {
     pub(crate) path: String,
     pub(crate) value: &'a JsonValue,
 }
 
 impl<'a> JsonNode<'a> {
-    fn wrong(&self, key: &str) -> ConfigError {
-        ConfigError::Key(self.join(key))
+    fn key_error(&self, key: &str) -> ConfigError {
+        ConfigError::Key(self.path_of(key))
     }
 
-    fn join(&self, key: &str) -> String {
+    fn path_of(&self, key: &str) -> String {
         if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) }
     }
 
     pub(crate) fn get(&self, key: &str) -> Result<JsonNode<'a>, ConfigError> {
-        let object = self.value.get::<HashMap<String, JsonValue>>().ok_or_else(|| self.wrong(key))?;
-        let value = object.get(key).ok_or_else(|| self.wrong(key))?;
-        Ok(JsonNode { path: self.join(key), value })
+        let object = self.value.get::<HashMap<String, JsonValue>>().ok_or_else(|| self.key_error(key))?;
+        let value = object.get(key).ok_or_else(|| self.key_error(key))?;
+        Ok(JsonNode { path: self.path_of(key), value })
     }
 
     pub(crate) fn text(&self, key: &str) -> Result<String, ConfigError> {
-        self.get(key)?.value.get::<String>().cloned().ok_or_else(|| self.wrong(key))
+        self.get(key)?.value.get::<String>().cloned().ok_or_else(|| self.key_error(key))
     }
 
     pub(crate) fn number(&self, key: &str) -> Result<f64, ConfigError> {
         let number = self.get(key)?.value.get::<f64>().copied();
-        number.filter(|n| n.is_finite()).ok_or_else(|| self.wrong(key))
+        number.filter(|n| n.is_finite()).ok_or_else(|| self.key_error(key))
     }
 
-    /// A number that is at least 0.
-    fn size(&self, key: &str) -> Result<f64, ConfigError> {
+    /// A non-negative number.
+    fn non_negative(&self, key: &str) -> Result<f64, ConfigError> {
         let number = self.number(key)?;
-        if number >= 0.0 { Ok(number) } else { Err(self.wrong(key)) }
+        if number >= 0.0 { Ok(number) } else { Err(self.key_error(key)) }
     }
 
     pub(crate) fn flag(&self, key: &str) -> Result<bool, ConfigError> {
-        self.get(key)?.value.get::<bool>().copied().ok_or_else(|| self.wrong(key))
+        self.get(key)?.value.get::<bool>().copied().ok_or_else(|| self.key_error(key))
     }
 
     fn choice<T: Copy>(&self, key: &str, choices: &[(&str, T)]) -> Result<T, ConfigError> {
         let value = self.text(key)?;
-        let found = choices.iter().find(|(word, _)| *word == value);
+        let found = choices.iter().find(|(name, _)| *name == value);
         found
             .map(|(_, choice)| *choice)
-            .ok_or_else(|| ConfigError::UnknownValue { key: self.join(key), value })
+            .ok_or_else(|| ConfigError::UnknownValue { key: self.path_of(key), value })
     }
 
     pub(crate) fn items(&self) -> Result<Vec<JsonNode<'a>>, ConfigError> {
@@ -204,7 +204,7 @@
             .collect())
     }
 
-    fn texts(&self) -> Result<Vec<String>, ConfigError> {
+    fn strings(&self) -> Result<Vec<String>, ConfigError> {
         let text = |n: JsonNode<'_>| {
             n.value.get::<String>().cloned().ok_or_else(|| ConfigError::Key(n.path.clone()))
         };
@@ -218,33 +218,34 @@
     }
 }
 
-fn read_settings(s: &JsonNode<'_>) -> Result<Settings, ConfigError> {
-    let (limits, rules, facts) = (s.get("policyLimits")?, s.get("invariants")?, s.get("specifics")?);
-    let pools = facts.choice("shape", &[("meshed", false), ("groups", true)])?;
-    let home = facts.number("homeOffice")?;
-    let max_retry_after_ms = limits.size("maxRetryAfterMs")?;
+fn parse_settings(settings: &JsonNode<'_>) -> Result<Settings, ConfigError> {
+    let (limits, invariants, specifics) =
+        (settings.get("policyLimits")?, settings.get("invariants")?, settings.get("specifics")?);
+    let pools = specifics.choice("shape", &[("meshed", false), ("groups", true)])?;
+    let home = specifics.number("homeOffice")?;
+    let max_retry_after_ms = limits.non_negative("maxRetryAfterMs")?;
     Ok(Settings {
-        agent_count: (s.size("balancers")? as u32).max(1),
-        self_index: s.size("selfIndex")? as u32,
+        agent_count: (settings.non_negative("balancers")? as u32).max(1),
+        self_index: settings.non_negative("selfIndex")? as u32,
         home: (!pools && home >= 0.0).then_some(home as u32),
-        classes: read_classes(s, &facts, pools)?,
-        tenants: s
+        classes: parse_classes(settings, &specifics, pools)?,
+        tenants: settings
             .get("tenants")?
             .items()?
             .iter()
-            .map(|t| Ok(Tenant { quota_per_s: t.size("quotaRps")? }))
+            .map(|t| Ok(Tenant { quota_per_s: t.non_negative("quotaRps")? }))
             .collect::<Result<_, ConfigError>>()?,
-        over_quota_worth_factor: s.size("overShareWorth")?,
-        must_fetch_list: s.choice("discovery", &[("push", false), ("ask", true)])?,
-        list_fetch_interval_ms: rules.size("askEveryMs")?,
-        report_fields: s
+        over_quota_worth_factor: settings.non_negative("overShareWorth")?,
+        must_fetch_list: settings.choice("discovery", &[("push", false), ("ask", true)])?,
+        list_fetch_interval_ms: invariants.non_negative("askEveryMs")?,
+        report_fields: settings
             .get("report")?
             .get("fields")?
-            .texts()?
+            .strings()?
             .iter()
             .map(|name| report_field(name))
             .collect(),
-        load_report_mode: facts.choice(
+        load_report_mode: specifics.choice(
             "farState",
             &[
                 ("inline", LoadReportMode::Inline),
@@ -252,44 +253,48 @@
                 ("off", LoadReportMode::Off),
             ],
         )?,
-        attempt_limit: limits.size("tryLimit")? as u32,
+        attempt_limit: limits.non_negative("tryLimit")? as u32,
         may_cancel: limits.flag("cancelling")?,
         may_probe: limits.flag("probes")?,
         may_message_peers: limits.flag("mayTell")?,
         max_retry_after_ms: if limits.flag("retryAfter")? { max_retry_after_ms } else { 0.0 },
-        drain_grace_ms: rules.size("stopSendingWithinMs")?,
-        release_pause_ms: facts.size("releaseMs")?,
-        cold_initial_capacity: rules.size("coldFrom")?,
-        cold_period_ms: rules.size("coldMs")?,
-        overload_factor: rules.size("fallMultiple")?,
-        overload_duration_ms: rules.size("tipAfterMs")?,
-        retransmit_ms: facts.size("resendMs")?,
-        tick_ms: s.size("tickMs")?,
+        drain_grace_ms: invariants.non_negative("stopSendingWithinMs")?,
+        release_pause_ms: specifics.non_negative("releaseMs")?,
+        cold_initial_capacity: invariants.non_negative("coldFrom")?,
+        cold_period_ms: invariants.non_negative("coldMs")?,
+        overload_factor: invariants.non_negative("fallMultiple")?,
+        overload_duration_ms: invariants.non_negative("tipAfterMs")?,
+        retransmit_ms: specifics.non_negative("resendMs")?,
+        tick_ms: settings.non_negative("tickMs")?,
     })
 }
 
-fn read_classes(s: &JsonNode<'_>, facts: &JsonNode<'_>, pools: bool) -> Result<Vec<Class>, ConfigError> {
-    let widths = facts.get("channelsNeeded")?.numbers()?;
-    let holds = facts.get("classHoldMs")?.numbers()?;
-    let cells = facts.get("classCells")?.items()?;
-    let of = |values: &[f64], i: usize, key: &str| {
-        values.get(i).copied().filter(|v| *v > 0.0).ok_or_else(|| facts.wrong(key))
+fn parse_classes(
+    settings: &JsonNode<'_>,
+    specifics: &JsonNode<'_>,
+    pools: bool,
+) -> Result<Vec<Class>, ConfigError> {
+    let widths = specifics.get("channelsNeeded")?.numbers()?;
+    let hold_times_ms = specifics.get("classHoldMs")?.numbers()?;
+    let class_pools = specifics.get("classCells")?.items()?;
+    let positive = |values: &[f64], i: usize, key: &str| {
+        values.get(i).copied().filter(|v| *v > 0.0).ok_or_else(|| specifics.key_error(key))
     };
-    let classes = s.get("classes")?.items()?;
+    let classes = settings.get("classes")?.items()?;
     classes
         .iter()
         .enumerate()
         .map(|(i, class)| {
             Ok(Class {
-                target_setup_ms: class.size("aimMs")?,
-                worth: class.size("worth")?,
-                late_worth_factor: class.size("lateShare")?,
-                width: of(&widths, i, "channelsNeeded")?,
-                mean_hold_ms: of(&holds, i, "classHoldMs")?,
+                target_setup_ms: class.non_negative("aimMs")?,
+                worth: class.non_negative("worth")?,
+                late_worth_factor: class.non_negative("lateShare")?,
+                width: positive(&widths, i, "channelsNeeded")?,
+                mean_hold_ms: positive(&hold_times_ms, i, "classHoldMs")?,
                 idempotent: class
                     .choice("semantics", &[("pure", true), ("token", false), ("side_effect", false)])?,
-                pools: match cells.get(i) {
-                    Some(cells) if pools => cells.numbers()?.into_iter().map(|n| n as u32).collect(),
+                pools: match class_pools.get(i) {
+                    Some(numbers) if pools => numbers.numbers()?.into_iter().map(|n| n as u32).collect(),
                     _ => Vec::new(),
                 },
             })
@@ -297,7 +302,7 @@
         .collect()
 }
 
-/// The value of a load report that goes by this name.
+/// Meaning of the value of a load report with this name.
 pub(crate) fn report_field(name: &str) -> ReportField {
     match name {
         "spare" => ReportField::FreeCircuits,
@@ -312,13 +317,14 @@
     }
 }
 
-/// Place of a zone among the known ones; a new name counts as one more.
+/// Index of a zone in the list of zones; an unknown name gets the index after the last.
 pub fn zone_index(zones: &[String], name: &str) -> u16 {
     zones.iter().position(|zone| zone == name).unwrap_or(zones.len()) as u16
 }
 
-/// Plays the events of the start in order: the first holds the whole list, later ones what has changed.
-fn read_known(known: &JsonNode<'_>, zones: &[String]) -> Result<Vec<ListEntry>, ConfigError> {
+/// Applies the list events of the configuration in order: the first one contains the complete list, later ones the
+/// changes.
+fn parse_exchanges(known: &JsonNode<'_>, zones: &[String]) -> Result<Vec<ListEntry>, ConfigError> {
     let mut entries: Vec<ListEntry> = Vec::new();
     for event in known.get("events")?.items()? {
         let members = event.get("members")?;
@@ -326,7 +332,7 @@
             entries.clear();
         }
         for member in members.get("members")?.items()? {
-            let entry = read_member(&member, zones)?;
+            let entry = parse_list_entry(&member, zones)?;
             entries.retain(|e| e.name != entry.name);
             if entry.readiness != Readiness::Removed {
                 entries.push(entry);
@@ -336,19 +342,19 @@
     Ok(entries)
 }
 
-fn read_member(member: &JsonNode<'_>, zones: &[String]) -> Result<ListEntry, ConfigError> {
-    let states = [
+fn parse_list_entry(member: &JsonNode<'_>, zones: &[String]) -> Result<ListEntry, ConfigError> {
+    let phases = [
         ("in_service", Readiness::Ready),
         ("terminating", Readiness::Draining),
         ("terminated", Readiness::Removed),
     ];
-    let born = member.size("up_since_ms")?;
+    let up_since_ms = member.non_negative("up_since_ms")?;
     Ok(ListEntry {
         name: member.text("id")?.into(),
         address: member.text("host_port")?.parse()?,
-        number: member.size("cell")? as u32,
+        number: member.non_negative("cell")? as u32,
         zone: zone_index(zones, &member.text("locality")?),
-        started_at: (born > 0.0).then(|| std::time::UNIX_EPOCH + duration_from_ms(born)),
-        readiness: member.choice("phase", &states)?,
+        started_at: (up_since_ms > 0.0).then(|| std::time::UNIX_EPOCH + duration_from_ms(up_since_ms)),
+        readiness: member.choice("phase", &phases)?,
     })
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! swiftlb: a softswitch. See the README for its sub-commands.
+//! swiftlb, a softswitch. The sub-commands are described in the README.
 
 use std::error::Error;
 use std::io::Write;
@@ -21,19 +21,19 @@
 const USAGE: &str = "\
 usage: swiftlb [serve] [--config FILE] [--iax2 FILE] [--edge FILE]
                        [--log LEVEL] [--log-format text|json]
-           serve calls; the files are $NODE_CONFIG, deploy/iax2.json and deploy/edge.json if none is given;
-           the log goes to standard error from this level on: off, error, warn, info, debug or trace
+           serve calls; default files: $NODE_CONFIG, deploy/iax2.json and deploy/edge.json;
+           log to standard error from this level on: off, error, warn, info, debug or trace
            example: swiftlb serve --config examples/toy/config.json --log warn --log-format json
        swiftlb check-config [FILE] [--iax2 FILE] [--edge FILE]
-           say whether the configuration can be served
+           check whether the configuration is valid
        swiftlb load [--setups] [--times] [--class NAME] [--left MS] [--dest N | --exchanges N] FILE ...
-           read HAR files and access logs; sum them up, or print their calls as set-ups (JSON lines)
+           read HAR files and access logs; print a summary, or their calls as set-ups (JSON lines)
        swiftlb version
-           say which version this is";
+           print the version";
 
-/// Where the IAX2 front's own file is, from the folder in which the platform starts the program.
+/// Configuration of the IAX2 front, relative to the directory in which the platform starts the program.
 const IAX2_FILE: &str = "deploy/iax2.json";
-/// The same for the settings of everything beyond the platform's configuration.
+/// Settings of the optional subsystems, relative to the same directory.
 const EDGE_FILE: &str = "deploy/edge.json";
 
 fn main() -> ExitCode {
@@ -49,35 +49,39 @@
 fn run() -> Result<(), Box<dyn Error>> {
     use lexopt::prelude::*;
     let mut parser = lexopt::Parser::from_env();
-    if std::env::args_os().nth(1).is_some_and(|word| word == "load") {
+    if std::env::args_os().nth(1).is_some_and(|command| command == "load") {
         return load(parser);
     }
     let (mut command, mut file, mut iax2_file, mut edge_file) = (None, None, None, None);
-    let (mut format, mut least) = (LogFormat::default(), LevelFilter::INFO);
+    let (mut format, mut min_level) = (LogFormat::default(), LevelFilter::INFO);
     while let Some(arg) = parser.next()? {
         match arg {
             Long("config") => file = Some(parser.value()?.string()?),
             Long("iax2") => iax2_file = Some(parser.value()?.string()?),
             Long("edge") => edge_file = Some(parser.value()?.string()?),
-            Long("log-format") => format = in_option("--log-format", parser.value()?.string()?.parse())?,
-            Long("log") => least = in_option("--log", log::parse_level(&parser.value()?.string()?))?,
+            Long("log-format") => {
+                format = with_option_name("--log-format", parser.value()?.string()?.parse())?
+            }
+            Long("log") => {
+                min_level = with_option_name("--log", log::parse_level(&parser.value()?.string()?))?
+            }
             Long("help") | Short('h') => {
                 println!("{USAGE}");
                 return Ok(());
             }
-            Value(word) if command.is_none() => command = Some(word.string()?),
-            Value(word) if file.is_none() => file = Some(word.string()?),
+            Value(value) if command.is_none() => command = Some(value.string()?),
+            Value(value) if file.is_none() => file = Some(value.string()?),
             _ => return Err(format!("{}\n{USAGE}", arg.unexpected()).into()),
         }
     }
-    let edge = || match &edge_file {
+    let load_edge = || match &edge_file {
         Some(file) => EdgeSettings::load(file, true),
         None => EdgeSettings::load(EDGE_FILE, false),
     };
     match command.as_deref().unwrap_or("serve") {
         "serve" => {
-            let _log = Log::open(format, least);
-            serve(&config_path(file)?, iax2(iax2_file)?, edge()?)
+            let _log = Log::open(format, min_level);
+            serve(&config_path(file)?, load_iax2(iax2_file)?, load_edge()?)
         }
         "check-config" => {
             let config = Config::load(&config_path(file)?)?;
@@ -87,13 +91,17 @@
                 config.exchanges.len(),
                 config.classes.len()
             );
-            match iax2(iax2_file)? {
+            match load_iax2(iax2_file)? {
                 Some(iax2) => println!("IAX2 on {}", iax2.listen),
                 None => println!("IAX2 off"),
             }
-            match edge()?.records {
-                Some(set) => {
-                    println!("records in {}, {} MB at most", set.directory.display(), set.budget_bytes >> 20);
+            match load_edge()?.records {
+                Some(records) => {
+                    println!(
+                        "records in {}, {} MB at most",
+                        records.directory.display(),
+                        records.budget_bytes >> 20
+                    );
                 }
                 None => println!("records off"),
             }
@@ -103,20 +111,20 @@
             println!("swiftlb {}", env!("CARGO_PKG_VERSION"));
             Ok(())
         }
-        word => Err(format!("no such command: {word}\n{USAGE}").into()),
+        command => Err(format!("unknown command: {command}\n{USAGE}").into()),
     }
 }
 
-/// An error that says which option it is about.
-fn in_option<T, E: std::fmt::Display>(option: &str, value: Result<T, E>) -> Result<T, String> {
+/// Adds the name of the option to an error.
+fn with_option_name<T, E: std::fmt::Display>(option: &str, value: Result<T, E>) -> Result<T, String> {
     value.map_err(|error| format!("{option}: {error}"))
 }
 
-/// Reads sources of load and prints them; sends nothing.
+/// Reads recorded load and prints a summary or its set-ups; sends nothing.
 fn load(mut parser: lexopt::Parser) -> Result<(), Box<dyn Error>> {
     use lexopt::prelude::*;
     let (mut files, mut setups, mut times) = (Vec::new(), false, false);
-    let mut plan = SetUpOptions {
+    let mut options = SetUpOptions {
         class: "unit-status".to_owned(),
         remaining: Duration::from_secs(9),
         dest: None,
@@ -126,28 +134,28 @@
         match arg {
             Long("setups") => setups = true,
             Long("times") => times = true,
-            Long("class") => plan.class = parser.value()?.string()?,
-            Long("left") => plan.remaining = Duration::from_millis(parser.value()?.parse()?),
-            Long("dest") => plan.dest = Some(parser.value()?.parse()?),
-            Long("exchanges") => plan.exchanges = parser.value()?.parse()?,
-            Value(word) => files.push(word.string()?),
+            Long("class") => options.class = parser.value()?.string()?,
+            Long("left") => options.remaining = Duration::from_millis(parser.value()?.parse()?),
+            Long("dest") => options.dest = Some(parser.value()?.parse()?),
+            Long("exchanges") => options.exchanges = parser.value()?.parse()?,
+            Value(value) => files.push(value.string()?),
             _ => return Err(format!("{}\n{USAGE}", arg.unexpected()).into()),
         }
     }
-    // The first word is the command itself.
-    let mut all = RecordedLoad::default();
-    for file in files.get(1..).filter(|files| !files.is_empty()).ok_or("no file to read")? {
+    // The first argument is the command itself.
+    let mut total = RecordedLoad::default();
+    for file in files.get(1..).filter(|files| !files.is_empty()).ok_or("load: expected at least one file")? {
         let text = std::fs::read(file).map_err(|error| format!("{file}: {error}"))?;
         let load = RecordedLoad::parse(&String::from_utf8_lossy(&text))
             .map_err(|error| format!("{file}: {error}"))?;
-        all.merge(load);
+        total.merge(load);
     }
     let mut out = std::io::stdout().lock();
     if !setups {
-        write!(out, "{}", all.summary())?;
+        write!(out, "{}", total.summary())?;
         return Ok(());
     }
-    for (at, line) in all.setups(&plan) {
+    for (at, line) in total.setups(&options) {
         if times {
             write!(out, "{:.3}\t", at.as_secs_f64())?;
         }
@@ -159,13 +167,14 @@
 fn config_path(file: Option<String>) -> Result<String, Box<dyn Error>> {
     match file {
         Some(path) => Ok(path),
-        None => Ok(std::env::var("NODE_CONFIG").map_err(|_| "no --config and no NODE_CONFIG")?),
+        None => Ok(std::env::var("NODE_CONFIG")
+            .map_err(|_| "expected --config FILE or the environment variable NODE_CONFIG")?),
     }
 }
 
-/// The IAX2 front's configuration. A file that is named must be there; the usual one may be missing, and the
-/// front is then off.
-fn iax2(file: Option<String>) -> Result<Option<Iax2Config>, Box<dyn Error>> {
+/// Configuration of the IAX2 front. A file given as an option must exist; if the default file does not exist, the
+/// front is off.
+fn load_iax2(file: Option<String>) -> Result<Option<Iax2Config>, Box<dyn Error>> {
     let text = match file {
         Some(path) => std::fs::read_to_string(&path).map_err(|error| format!("{path}: {error}"))?,
         None if std::path::Path::new(IAX2_FILE).exists() => std::fs::read_to_string(IAX2_FILE)?,
@@ -174,19 +183,23 @@
     Ok(Iax2Config::parse(&text)?)
 }
 
-/// The listening socket that the platform holds and names in $NODE_FD.
+/// The listening socket inherited from the platform, whose descriptor number is in $NODE_FD.
 fn inherited_listener() -> Option<TcpListener> {
     let number = std::env::var("NODE_FD").ok().filter(|number| !number.is_empty())?;
-    let adopted = number.parse().map_err(std::io::Error::other).and_then(listener_from_fd);
-    // Without it the address may still be free.
-    adopted.inspect_err(|error| tracing::warn!(number, %error, "inherited descriptor")).ok()
+    let listener = number.parse().map_err(std::io::Error::other).and_then(listener_from_fd);
+    // Without the inherited socket, the address may still be free to bind.
+    listener
+        .inspect_err(|error| {
+            tracing::warn!(number, %error, "inherited descriptor is not usable; binding the configured address")
+        })
+        .ok()
 }
 
 fn serve(path: &str, iax2: Option<Iax2Config>, edge: EdgeSettings) -> Result<(), Box<dyn Error>> {
-    // First of all: until they are handled, either signal ends the process without a word.
+    // Registered first: until then either signal kills the process without a drain.
     let mut signals = Signals::new([SIGTERM, SIGHUP])?;
     let mut config = Config::load(path)?;
-    // The process's own word counts: the file may be one that several processes are started with.
+    // The environment overrides the file, because several processes may be started with the same file.
     if let Some(address) = std::env::var("NODE_OPERATOR").ok().filter(|address| !address.is_empty()) {
         config.operator = Some(address.parse().map_err(|error| format!("NODE_OPERATOR: {error}"))?);
     }
@@ -202,7 +215,7 @@
                 SIGHUP => match Config::load(&path) {
                     Ok(config) => Input::Reload(Box::new(config)),
                     Err(error) => {
-                        tracing::warn!(%error, "configuration refused, the old one stays");
+                        tracing::warn!(%error, "configuration refused; the previous one stays in use");
                         continue;
                     }
                 },
--- a/src/ops/fleet.rs
+++ b/src/ops/fleet.rs
@@ -82,9 +82,8 @@
         text.push_str("},\"exchanges\":[");
         for (i, exchange) in self.exchanges.iter().enumerate() {
             let comma = if i > 0 { "," } else { "" };
-            let since_heard = exchange
-                .since_heard
-                .map_or("null".to_owned(), |since_heard| since_heard.as_millis().to_string());
+            let since_heard =
+                exchange.since_heard.map_or("null".to_owned(), |elapsed| elapsed.as_millis().to_string());
             let _ = write!(
                 text,
                 "{comma}{{\"exchange\":{},\"name\":{},\"listing\":\"{}\",\"way\":\"{}\",\"free\":{},\"total\":{},\
