--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -23,7 +23,7 @@
 fn swiftlb(words: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_swiftlb"));
     command.args(words).env_remove("NODE_CONFIG").current_dir(env!("CARGO_MANIFEST_DIR"));
-    command.output().expect("it starts")
+    command.output().expect("start the program")
 }
 
 fn said(output: &Output) -> (bool, String) {
@@ -45,15 +45,15 @@
     );
     let log = std::env::temp_dir().join(format!("swiftlb-cli-{}.log", std::process::id()));
     let line = "h - - [01/Jul/2026:10:00:01 +0000] \"GET /parts/3 HTTP/1.1\" 200 5\n";
-    std::fs::write(&log, line).expect("a file");
-    let path = log.to_str().expect("a path");
+    std::fs::write(&log, line).expect("access the file");
+    let path = log.to_str().expect("UTF-8 path");
     assert!(said(&swiftlb(&["load", path])).1.starts_with("calls      1 (1 served, 0 not readable)\n"));
     let (fine, setups) = said(&swiftlb(&["load", "--setups", "--times", "--dest", "2", path]));
     assert!(
         fine && setups.starts_with("0.000\t{\"kind\":\"launch\"") && setups.contains("dest:2;"),
         "{setups}"
     );
-    std::fs::remove_file(&log).expect("it was there");
+    std::fs::remove_file(&log).expect("remove the file");
 }
 
 #[test]
@@ -72,80 +72,82 @@
 #[test]
 fn a_started_program_reads_its_configuration_again_on_sighup_and_ends_well_on_sigterm() {
     let file = std::env::temp_dir().join(format!("swiftlb-serve-{}.json", std::process::id()));
-    let resolvers = [0, 1].map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port"));
+    let resolvers = [0, 1].map(|_| UdpSocket::bind("127.0.0.1:0").expect("bind a loopback port"));
     let text = resolvers.each_ref().map(|resolver| {
-        resolver.set_read_timeout(Some(Duration::from_secs(8))).expect("a time-out");
-        let names = resolver.local_addr().expect("an address").to_string();
+        resolver.set_read_timeout(Some(Duration::from_secs(8))).expect("set the read time-out");
+        let names = resolver.local_addr().expect("local address").to_string();
         engine_harness::config_json("127.0.0.1:0", &names, &["127.0.0.1:9".to_owned()])
     });
-    std::fs::write(&file, &text[0]).expect("a file");
+    std::fs::write(&file, &text[0]).expect("access the file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_swiftlb"));
     command.env("NODE_CONFIG", &file).stderr(Stdio::piped());
-    let mut child = Ended(command.spawn().expect("it starts"));
-    let mut log = BufReader::new(child.0.stderr.take().expect("its log")).lines();
-    let line = log.next().expect("a line").expect("text");
-    let address = line.split_once("serves name=\"n0\" address=").expect("its address").1.to_owned();
+    let mut child = Ended(command.spawn().expect("start the program"));
+    let mut log = BufReader::new(child.0.stderr.take().expect("piped standard error")).lines();
+    let line = log.next().expect("next line").expect("UTF-8 text");
+    let address =
+        line.split_once("serves name=\"n0\" address=").expect("address in the log line").1.to_owned();
     let passes_a_test = || {
-        let mut stream = TcpStream::connect(&address).expect("it listens");
+        let mut stream = TcpStream::connect(&address).expect("connect");
         stream
             .write_all(b"{\"kind\":\"check\",\"uid\":\"0000000000000001\",\"meta\":{},\"reason\":0}\n")
-            .expect("sent");
+            .expect("send a message");
         let mut answer = String::new();
-        BufReader::new(stream).read_line(&mut answer).expect("a line");
+        BufReader::new(stream).read_line(&mut answer).expect("next line");
         assert_eq!(answer, "{\"kind\":\"checked\",\"uid\":\"0000000000000001\",\"meta\":{},\"reason\":1}\n");
     };
     passes_a_test();
     let id = child.0.id().to_string();
     let signal =
-        |name: &str| assert!(Command::new("kill").args([name, &id]).status().expect("it runs").success());
+        |name: &str| assert!(Command::new("kill").args([name, &id]).status().expect("run kill").success());
     // The first resolver is asked, and after the order the second; a file that makes no sense changes nothing.
-    resolvers[0].recv(&mut [0; 512]).expect("a query");
-    std::fs::write(&file, "{").expect("a file");
+    resolvers[0].recv(&mut [0; 512]).expect("receive a query");
+    std::fs::write(&file, "{").expect("access the file");
     signal("-HUP");
-    let mut said = log.by_ref().map(|line| line.expect("text"));
+    let mut said = log.by_ref().map(|line| line.expect("UTF-8 text"));
     assert!(said.any(|line| line.contains("configuration refused")), "it says so");
     passes_a_test();
-    std::fs::write(&file, &text[1]).expect("a file");
+    std::fs::write(&file, &text[1]).expect("access the file");
     signal("-HUP");
-    resolvers[1].recv(&mut [0; 512]).expect("a query");
+    resolvers[1].recv(&mut [0; 512]).expect("receive a query");
     passes_a_test();
     signal("-TERM");
-    assert!(child.0.wait().expect("it ends").success());
-    std::fs::remove_file(&file).expect("it was there");
+    assert!(child.0.wait().expect("wait for the process").success());
+    std::fs::remove_file(&file).expect("remove the file");
 }
 
 #[test]
 fn a_log_that_nobody_reads_holds_no_call_up() {
     let file = std::env::temp_dir().join(format!("swiftlb-log-{}.json", std::process::id()));
-    std::fs::write(&file, engine_harness::config_json("127.0.0.1:0", "127.0.0.1:9", &[])).expect("a file");
+    std::fs::write(&file, engine_harness::config_json("127.0.0.1:0", "127.0.0.1:9", &[]))
+        .expect("access the file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_swiftlb"));
     command.args(["serve", "--log-format", "json"]).env("NODE_CONFIG", &file).stderr(Stdio::piped());
-    let mut child = Ended(command.spawn().expect("it starts"));
-    let mut log = BufReader::new(child.0.stderr.take().expect("its log"));
+    let mut child = Ended(command.spawn().expect("start the program"));
+    let mut log = BufReader::new(child.0.stderr.take().expect("piped standard error"));
     let mut line = String::new();
-    log.read_line(&mut line).expect("a line");
-    let json: tinyjson::JsonValue = line.parse().expect("JSON");
-    let field = |key: &str| json["fields"][key].get::<String>().expect("text").clone();
+    log.read_line(&mut line).expect("next line");
+    let json: tinyjson::JsonValue = line.parse().expect("valid JSON");
+    let field = |key: &str| json["fields"][key].get::<String>().expect("UTF-8 text").clone();
     assert_eq!(
-        (field("message"), json["level"].get::<String>().expect("text").as_str()),
+        (field("message"), json["level"].get::<String>().expect("UTF-8 text").as_str()),
         ("serves".into(), "INFO")
     );
     let address = field("address");
     let id = child.0.id().to_string();
     // Each refused order to read the configuration again is a line of the log: these fill the pipe, which nobody reads.
-    std::fs::write(&file, "{").expect("a file");
+    std::fs::write(&file, "{").expect("access the file");
     for _ in 0..2_000 {
-        assert!(Command::new("kill").args(["-HUP", &id]).status().expect("it runs").success());
+        assert!(Command::new("kill").args(["-HUP", &id]).status().expect("run kill").success());
     }
-    let mut stream = TcpStream::connect(&address).expect("it listens");
-    stream.set_read_timeout(Some(Duration::from_secs(8))).expect("a time-out");
+    let mut stream = TcpStream::connect(&address).expect("connect");
+    stream.set_read_timeout(Some(Duration::from_secs(8))).expect("set the read time-out");
     stream
         .write_all(b"{\"kind\":\"check\",\"uid\":\"0000000000000001\",\"meta\":{},\"reason\":0}\n")
-        .expect("sent");
+        .expect("send a message");
     let mut answer = String::new();
-    BufReader::new(stream).read_line(&mut answer).expect("a line");
+    BufReader::new(stream).read_line(&mut answer).expect("next line");
     assert!(answer.contains("\"checked\""), "{answer}");
-    assert!(Command::new("kill").args(["-KILL", &id]).status().expect("it runs").success());
-    child.0.wait().expect("it ends");
-    std::fs::remove_file(&file).expect("it was there");
+    assert!(Command::new("kill").args(["-KILL", &id]).status().expect("run kill").success());
+    child.0.wait().expect("wait for the process");
+    std::fs::remove_file(&file).expect("remove the file");
 }
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -100,7 +100,7 @@
     switch
         .loop_sender
         .send(swiftlb::net::LoopMessage::Input(swiftlb::engine::Input::Drain))
-        .expect("it runs");
+        .expect("running event loop");
     // What comes on a new connection after the order is still served.
     let mut late = JsonLinesConn::connect(switch.address);
     late.send(&launch_line("00000000000000bb", 1, 3_000));
@@ -135,7 +135,7 @@
     lines[0].expect("launch", CALL);
     lines[0].send(&running(CALL));
     caller.expect("running", CALL);
-    phone.call(switch.iax2_address.expect("it is on"), "17");
+    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
     let handset = lines[0].receive().expect("a set-up").text("uid");
     lines[0].send(&running(&handset));
     phone.expect(FrameType::Iax, iax::ACCEPT);
@@ -169,13 +169,13 @@
     let mut caller = JsonLinesConn::connect(switch.address);
     let mut phone = Iax2Endpoint::new(20);
     caller.send(&launch_line(CALL, 1, 3_000));
-    phone.call(switch.iax2_address.expect("it is on"), "17");
+    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
     let uids: Vec<String> = (0..2).map(|_| lines[0].receive().expect("a set-up").text("uid")).collect();
     let config = Box::new(engine_harness::config(3));
     switch
         .loop_sender
         .send(swiftlb::net::LoopMessage::Input(swiftlb::engine::Input::Reload(config)))
-        .expect("it runs");
+        .expect("running event loop");
     caller.assert_quiet();
     for uid in &uids {
         lines[0].send(&running(uid));
@@ -192,9 +192,9 @@
 #[test]
 fn handsets_that_flood_and_fall_silent_keep_nobody_from_being_served() {
     let (switch, mut lines) = two_exchanges();
-    let handsets = switch.iax2_address.expect("it is on");
+    let handsets = switch.iax2_address.expect("address of the IAX2 front");
     // Hostile frames, and set-ups of a number that leads nowhere, from a phone that acknowledges nothing.
-    let flood = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let flood = std::net::UdpSocket::bind("127.0.0.1:0").expect("bind a loopback port");
     let elements = InformationElements {
         version: Some(2),
         called_number: Some("9".to_owned()),
@@ -221,9 +221,9 @@
             payload,
         }
         .encode();
-        flood.send_to(&new, handsets).expect("sent");
-        flood.send_to(&new[..usize::from(source_call) % new.len()], handsets).expect("sent");
-        flood.send_to(&[0xff; 40][..usize::from(source_call) % 40], handsets).expect("sent");
+        flood.send_to(&new, handsets).expect("send a message");
+        flood.send_to(&new[..usize::from(source_call) % new.len()], handsets).expect("send a message");
+        flood.send_to(&[0xff; 40][..usize::from(source_call) % 40], handsets).expect("send a message");
     }
     phone.frames_before_pong();
     phone.call(handsets, "17");
@@ -237,12 +237,12 @@
 fn an_order_to_stop_repeats_an_iax2_rejection_that_was_lost() {
     let (mut switch, mut lines) = two_exchanges();
     let mut phone = Iax2Endpoint::new(20);
-    phone.call(switch.iax2_address.expect("it is on"), "17");
+    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
     let call = lines[0].receive().expect("a set-up").text("uid");
     switch
         .loop_sender
         .send(swiftlb::net::LoopMessage::Input(swiftlb::engine::Input::Drain))
-        .expect("it runs");
+        .expect("running event loop");
     std::thread::sleep(Duration::from_millis(800));
     lines[0].send(&stop(&call, 17, r#""note":"user_busy""#));
     let mut rejections = 0;
@@ -254,7 +254,7 @@
             rejections += 1;
         }
     }
-    assert!(switch.thread.take().expect("it ran").join().expect("it did not panic"));
+    assert!(switch.thread.take().expect("running thread").join().expect("thread without a panic"));
 }
 
 /// The same script for a caller of either front: the first attempt is reset, the second one answered. What
@@ -286,7 +286,7 @@
 fn the_release_pause_is_kept_for_an_iax2_caller() {
     let (switch, mut lines) = two_exchanges();
     let mut phone = Iax2Endpoint::new(20);
-    phone.call(switch.iax2_address.expect("it is on"), "17");
+    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
     reset_then_answer(&mut lines);
     phone.expect(FrameType::Iax, iax::ACCEPT);
     phone.expect(FrameType::Control, control::ANSWER);
@@ -299,7 +299,7 @@
     let (switch, lines) = two_exchanges();
     let (mut one, _two) = pass_on(lines, 0);
     let mut phone = Iax2Endpoint::new(20);
-    phone.call(switch.iax2_address.expect("it is on"), "1700");
+    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "1700");
     let setup = one.receive().expect("a set-up");
     let call = setup.text("uid");
     // No caller's time on this wire: the class's deadline holds.
@@ -322,12 +322,12 @@
     let (switch, lines) = two_exchanges();
     let (mut one, mut two) = pass_on(lines, 0);
     let mut busy = Iax2Endpoint::new(21);
-    busy.call(switch.iax2_address.expect("it is on"), "11");
+    busy.call(switch.iax2_address.expect("address of the IAX2 front"), "11");
     let call = one.receive().expect("a set-up").text("uid");
     one.send(&stop(&call, 17, r#""note":"user_busy""#));
     assert_eq!(busy.expect(FrameType::Iax, iax::REJECT).cause_code, Some(17));
     let mut phone = Iax2Endpoint::new(20);
-    phone.call(switch.iax2_address.expect("it is on"), "1");
+    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "1");
     let call = one.receive().expect("a set-up").text("uid");
     one.send(&stop(&call, 34, r#""note":"group_full""#));
     two.expect("launch", &call);
@@ -335,7 +335,7 @@
     let why = phone.expect(FrameType::Iax, iax::REJECT);
     assert_eq!((why.cause_code, why.cause.as_deref()), (Some(34), Some("retry after 300 ms")));
     let mut lost = Iax2Endpoint::new(22);
-    lost.call(switch.iax2_address.expect("it is on"), "900");
+    lost.call(switch.iax2_address.expect("address of the IAX2 front"), "900");
     assert_eq!(lost.expect(FrameType::Iax, iax::REJECT).cause_code, Some(1));
 }
 
@@ -406,7 +406,7 @@
 fn a_call_between_iax2_peers_relays_media_both_ways() {
     let (switch, mut node, _lines) = node_and_exchange();
     let mut phone = Iax2Endpoint::new(20);
-    phone.call(switch.iax2_address.expect("it is on"), "1");
+    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "1");
     assert_eq!(node.expect(FrameType::Iax, iax::NEW).format, Some(4));
     node.answer();
     assert_eq!(phone.expect(FrameType::Iax, iax::ACCEPT).format, Some(4));
@@ -415,8 +415,8 @@
     let voice = node.receive();
     assert_eq!((voice.frame_type, voice.subclass, voice.payload), (FrameType::Voice, 4, vec![1; 160]));
     let stamp = phone.oseqno as u16 * 20;
-    let mini = MiniFrame { source_call: phone.local, timestamp: stamp, payload: vec![2; 160] };
-    phone.socket.send_to(&mini.encode(), phone.peer.expect("a peer")).expect("sent");
+    let mini = MiniFrame { source_call: phone.local_call, timestamp: stamp, payload: vec![2; 160] };
+    phone.socket.send_to(&mini.encode(), phone.peer.expect("address of the peer")).expect("send a message");
     assert_eq!(node.receive_mini().payload, vec![2; 160]);
     node.send(FrameType::Voice, 4, vec![3; 160]);
     assert_eq!(phone.receive().payload, vec![3; 160]);
@@ -430,7 +430,7 @@
 fn a_caller_hangs_up_while_its_set_up_waits_in_a_stalled_nodes_queue() {
     let (switch, mut node, mut two) = node_and_exchange();
     let mut phone = Iax2Endpoint::new(20);
-    phone.call(switch.iax2_address.expect("it is on"), "1");
+    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "1");
     // The node takes the set-up and says nothing more of it.
     node.expect(FrameType::Iax, iax::NEW);
     let raw = phone.receive_unacked();
@@ -452,7 +452,7 @@
     let (switch, lines) = two_exchanges();
     let (mut one, mut two) = pass_on(lines, 0);
     let mut phone = Iax2Endpoint::new(20);
-    phone.call(switch.iax2_address.expect("it is on"), "17");
+    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
     let call = one.receive().expect("a set-up").text("uid");
     phone.hang_up(16);
     assert_eq!(one.expect("stop", &call).cause(), 16.0);
@@ -466,7 +466,7 @@
 fn the_release_pause_is_kept_after_an_iax2_node_has_reset_a_set_up() {
     let (switch, mut node, mut two) = node_and_exchange();
     let mut phone = Iax2Endpoint::new(20);
-    phone.call(switch.iax2_address.expect("it is on"), "1");
+    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "1");
     node.expect(FrameType::Iax, iax::NEW);
     let (_, waited) = timed(|| {
         node.send(FrameType::Iax, iax::HANGUP, InformationElements::with_cause(41, "").encode());
@@ -490,7 +490,7 @@
     let (switch, mut node, _two) = node_and_exchange();
     let mut phone = Iax2Endpoint::new(20);
     let (why, waited) = timed(|| {
-        phone.call(switch.iax2_address.expect("it is on"), "1");
+        phone.call(switch.iax2_address.expect("address of the IAX2 front"), "1");
         node.expect(FrameType::Iax, iax::NEW);
         phone.expect(FrameType::Iax, iax::REJECT)
     });
@@ -505,7 +505,7 @@
     let (switch, mut node, mut two) = node_and_exchange();
     let mut phone = Iax2Endpoint::new(20);
     // The first set-up reaches us three times.
-    let new = phone.call(switch.iax2_address.expect("it is on"), "2");
+    let new = phone.call(switch.iax2_address.expect("address of the IAX2 front"), "2");
     phone.send_frame(&FullFrame { retransmitted: true, ..new.clone() });
     phone.send_frame(&new);
     let call = two.receive().expect("a set-up").text("uid");
@@ -559,14 +559,14 @@
 /// Guards against descriptors that no limit counts, when callers leave by the hundreds.
 #[test]
 fn few_closed_connections_are_kept_to_see_whether_all_was_read() {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind a loopback port");
+    let address = listener.local_addr().expect("local address");
     let now = std::time::SystemTime::now();
     let mut closed = ClosedConnections::default();
     for id in 0..100 {
-        let _caller = std::net::TcpStream::connect(address).expect("it listens");
-        let stream = listener.accept().expect("a connection").0;
-        stream.set_nonblocking(true).expect("it can be");
+        let _caller = std::net::TcpStream::connect(address).expect("connect");
+        let stream = listener.accept().expect("accept a connection").0;
+        stream.set_nonblocking(true).expect("set the non-blocking mode");
         let connection = Connection::accepted(mio::net::TcpStream::from_std(stream), PAUSE);
         assert_eq!(closed.push(now + PAUSE, id, connection), None, "all was read");
         assert!(closed.len() <= MAX_CLOSED_CONNECTIONS);
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -35,16 +35,16 @@
     ] {
         assert_eq!(switch.operator_request(call).0, status, "{call}");
     }
-    let mut stream = TcpStream::connect(switch.operator_address).expect("it listens");
-    stream.write_all(b"\x01\x02\r\n\r\n").expect("it reads");
+    let mut stream = TcpStream::connect(switch.operator_address).expect("connect");
+    stream.write_all(b"\x01\x02\r\n\r\n").expect("write to the socket");
     assert_eq!(read_reply(stream).0, 400);
-    let mut stream = TcpStream::connect(switch.operator_address).expect("it listens");
-    stream.write_all(format!("GET /{}", "x".repeat(MAX_HEAD_BYTES)).as_bytes()).expect("it reads");
+    let mut stream = TcpStream::connect(switch.operator_address).expect("connect");
+    stream.write_all(format!("GET /{}", "x".repeat(MAX_HEAD_BYTES)).as_bytes()).expect("write to the socket");
     assert_eq!(read_reply(stream).0, 431);
     // A head in pieces, with a body behind it that nobody waits for.
-    let mut stream = TcpStream::connect(switch.operator_address).expect("it listens");
+    let mut stream = TcpStream::connect(switch.operator_address).expect("connect");
     for piece in ["PUT /ops/dra", "in/stop HTTP/1.1\r\nContent-Length: 9\r\n", "\r\nabc"] {
-        stream.write_all(piece.as_bytes()).expect("it reads");
+        stream.write_all(piece.as_bytes()).expect("write to the socket");
     }
     assert_eq!(read_reply(stream).0, 200);
 }
@@ -54,7 +54,7 @@
     let (switch, _exchange) = one_exchange();
     let mut held: Vec<TcpStream> = (0..40)
         .map(|n| {
-            let mut stream = TcpStream::connect(switch.operator_address).expect("it listens");
+            let mut stream = TcpStream::connect(switch.operator_address).expect("connect");
             // One that was put out already may be found closed.
             let _ = stream.write_all(&b"GET /ops/sta"[..n % 12]);
             stream
@@ -97,7 +97,7 @@
     caller.send(&launch_line("00000000000000aa", 9, 1_500));
     caller.expect("stop", "00000000000000aa");
     let mut phone = Iax2Endpoint::new(20);
-    phone.call(switch.iax2_address.expect("it is on"), "17");
+    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
     let handset = exchange.receive().expect("a set-up").text("uid");
     exchange
         .send(&format!(r#"{{"kind":"stop","uid":"{handset}","meta":{{"note":"user_busy"}},"reason":17}}"#));
--- a/tests/replacement.rs
+++ b/tests/replacement.rs
@@ -50,7 +50,7 @@
     for word in said(old) {
         // Through the wire: nothing may be lost on the way.
         let line = handover::format_message(&word);
-        match handover::parse_message(&line).expect("a word") {
+        match handover::parse_message(&line).expect("valid message") {
             SiblingMessage::Exchange(entry) => inheritance.list.push(entry),
             SiblingMessage::Learned { topic, exchange, values } => {
                 inheritance.learned.push((topic, exchange, values))
@@ -63,8 +63,8 @@
     new.effects.clear();
     new.now = old.now;
     new.exchange_conns.clear();
-    new.engine = Engine::take_over(&config(3), inheritance, old.now, &mut new.effects)
-        .expect("settings that make sense");
+    new.engine =
+        Engine::take_over(&config(3), inheritance, old.now, &mut new.effects).expect("valid settings");
     let ways = new.effects.iter().filter_map(|effect| match effect {
         Effect::ConnectExchange { exchange_conn, name, .. } => Some((name.to_string(), *exchange_conn)),
         _ => None,
@@ -208,7 +208,7 @@
         |controller: &mut Controller, at: f64, event: Event| controller.handle(at, event, &mut Vec::new());
     let list =
         |born| Event::List { kind: ListUpdateKind::Complete, entries: vec![listed(0, 0.0), listed(1, born)] };
-    let mut old = Controller::new(settings.clone(), 1).expect("settings that make sense");
+    let mut old = Controller::new(settings.clone(), 1).expect("valid settings");
     feed(&mut old, start, list(0.0));
     let report = Some(vec![17.0, 30.0]);
     let exchange = listed(1, 0.0).id;
@@ -234,7 +234,7 @@
         actions.iter().filter(|a| matches!(a, swiftlb::interface::Action::Send { .. })).count()
     };
     assert_eq!(sent(&mut old, 1, start), 200);
-    let mut new = Controller::new(settings, 2).expect("settings that make sense");
+    let mut new = Controller::new(settings, 2).expect("valid settings");
     feed(&mut new, start, list(0.0));
     for belief in old.learned_values() {
         new.apply_learned(&belief);
@@ -260,7 +260,7 @@
 impl Folder {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("swiftlb-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
+        std::fs::create_dir_all(&path).expect("create the folder");
         Self(path)
     }
 }
@@ -281,8 +281,9 @@
     /// Inherits the listener as its standard input, which is a descriptor like any other.
     fn start(listener: &TcpListener, folder: &Path) -> Self {
         // A port that is free now; the system gives each only once in a while.
-        let operator_address = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
-        let listener: OwnedFd = listener.try_clone().expect("a descriptor").into();
+        let operator_address =
+            TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("bind a loopback port");
+        let listener: OwnedFd = listener.try_clone().expect("duplicate the descriptor").into();
         let mut command = Command::new(env!("CARGO_BIN_EXE_swiftlb"));
         command.env("NODE_CONFIG", folder.join("config.json")).env("NODE_FD", "0").env("TMPDIR", folder);
         command
@@ -290,13 +291,13 @@
             .stdin(Stdio::from(listener))
             .stderr(Stdio::piped());
         command.arg("--iax2").arg(folder.join("iax2.json"));
-        let mut child = command.spawn().expect("it starts");
-        let mut log = BufReader::new(child.stderr.take().expect("its log"));
+        let mut child = command.spawn().expect("start the program");
+        let mut log = BufReader::new(child.stderr.take().expect("piped standard error"));
         let mut line = String::new();
-        log.read_line(&mut line).expect("a line");
+        log.read_line(&mut line).expect("next line");
         while !line.contains("serves name=") {
             line.clear();
-            assert!(log.read_line(&mut line).expect("a line") > 0, "it ended");
+            assert!(log.read_line(&mut line).expect("next line") > 0, "it ended");
         }
         std::thread::spawn(move || log.read_to_string(&mut String::new()));
         Self { child, operator_address }
@@ -312,7 +313,7 @@
 
     fn terminate(&self) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args(["-TERM", &id]).status().expect("it runs").success());
+        assert!(Command::new("kill").args(["-TERM", &id]).status().expect("run kill").success());
     }
 }
 
@@ -325,20 +326,20 @@
 
 /// What two programs share: the listening socket, the folder, one exchange.
 fn stage(name: &str) -> (TcpListener, Folder, ListeningExchange, UdpSocket) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback port");
     let (folder, exchange) = (Folder::new(name), ListeningExchange::new());
-    let resolver = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let address = |a: std::io::Result<SocketAddr>| a.expect("an address").to_string();
+    let resolver = UdpSocket::bind("127.0.0.1:0").expect("bind a loopback port");
+    let address = |a: std::io::Result<SocketAddr>| a.expect("local address").to_string();
     let all = ["127.0.0.1:9".to_owned(), exchange.address().to_string()];
     let text =
         engine_harness::config_json(&address(listener.local_addr()), &address(resolver.local_addr()), &all);
-    std::fs::write(folder.0.join("config.json"), text).expect("a file");
+    std::fs::write(folder.0.join("config.json"), text).expect("access the file");
     let iax2 = format!(
         r#"{{"enabled":true,"listen":"{}","nodes":[],"contexts":[
         {{"context":"service","class":"lookup","numbers":[{{"prefix":"1","exchange":1}}]}}]}}"#,
         address(UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()))
     );
-    std::fs::write(folder.0.join("iax2.json"), iax2).expect("a file");
+    std::fs::write(folder.0.join("iax2.json"), iax2).expect("access the file");
     (listener, folder, exchange, resolver)
 }
 
@@ -352,7 +353,7 @@
 #[test]
 fn two_programs_serve_as_one_on_an_inherited_listener() {
     let (listener, folder, exchange, _resolver) = stage("two");
-    let address = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("local address");
     let mut old = Program::start(&listener, &folder.0);
     let mut at_old = exchange.accept();
     let mut caller = JsonLinesConn::connect(address);
@@ -370,20 +371,21 @@
     at_old.expect("stop", "00000000000000a1");
     at_old.send(r#"{"kind":"stop","uid":"00000000000000a2","meta":{},"reason":16}"#);
     assert_eq!(caller.expect("stop", "00000000000000a2").cause(), 16.0);
-    assert!(old.child.wait().expect("it ends").success(), "nothing is left at the old one");
+    assert!(old.child.wait().expect("wait for the process").success(), "nothing is left at the old one");
     // Handsets are the new one's as well, once it has their address.
-    let iax2 = std::fs::read_to_string(folder.0.join("iax2.json")).expect("a file");
-    let handsets = Iax2Config::parse(&iax2).expect("a configuration").expect("it is on").listen;
+    let iax2 = std::fs::read_to_string(folder.0.join("iax2.json")).expect("access the file");
+    let handsets =
+        Iax2Config::parse(&iax2).expect("valid configuration").expect("address of the IAX2 front").listen;
     let mut phone = Iax2Endpoint::new(20);
     let new_call = phone.call(handsets, "17");
-    phone.socket.set_read_timeout(Some(Duration::from_millis(50))).expect("a time-out");
+    phone.socket.set_read_timeout(Some(Duration::from_millis(50))).expect("set the read time-out");
     let mut tries = 0;
     while phone.socket.peek(&mut [0]).is_err() {
         tries += 1;
         assert!(tries < 160, "the address is free");
         phone.send_frame(&new_call);
     }
-    phone.socket.set_read_timeout(Some(Duration::from_secs(8))).expect("a time-out");
+    phone.socket.set_read_timeout(Some(Duration::from_secs(8))).expect("set the read time-out");
     let handset = at_new.receive().expect("a set-up").text("uid");
     at_new.send(&format!(r#"{{"kind":"running","uid":"{handset}","meta":{{}},"body":""}}"#));
     phone.expect(FrameType::Iax, iax::ACCEPT);
@@ -400,22 +402,22 @@
 #[test]
 fn a_place_that_is_stale_or_full_of_nonsense_makes_a_start_like_any_other() {
     let (listener, folder, exchange, _resolver) = stage("stale");
-    let address = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("local address");
     let place = handover::socket_path(&folder.0, address);
-    let mut listener_of_nonsense = Some(UnixListener::bind(&place).expect("a place"));
+    let mut listener_of_nonsense = Some(UnixListener::bind(&place).expect("bind the Unix socket"));
     let mut exchange = Some(exchange);
     let mut lines: Option<JsonLinesConn> = None;
     for round in 0..3 {
         let nonsense = listener_of_nonsense.take().filter(|_| round == 0).map(|listener| {
             std::thread::spawn(move || {
-                let (mut stream, _) = listener.accept().expect("it asks");
-                stream.write_all(b"{\"say\":\"exchange\"}\nnonsense\n").expect("it reads");
+                let (mut stream, _) = listener.accept().expect("accept the successor");
+                stream.write_all(b"{\"say\":\"exchange\"}\nnonsense\n").expect("write to the socket");
             })
         });
         if round == 2 {
             // A file that is no socket at all.
             let _ = std::fs::remove_file(&place);
-            std::fs::write(&place, "nonsense").expect("a file");
+            std::fs::write(&place, "nonsense").expect("access the file");
         }
         let program = Program::start(&listener, &folder.0);
         let mut at = match (exchange.take(), lines.take()) {
@@ -429,7 +431,7 @@
         let mut caller = JsonLinesConn::connect(address);
         set_up(&mut caller, &mut at, "00000000000000c1");
         if let Some(nonsense) = nonsense {
-            nonsense.join().expect("it was asked");
+            nonsense.join().expect("thread without a panic");
         }
         lines = Some(at);
         drop(program);
--- a/tests/resolver.rs
+++ b/tests/resolver.rs
@@ -16,24 +16,24 @@
 
 impl Resolver {
     fn new() -> Self {
-        let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        let socket = UdpSocket::bind("127.0.0.1:0").expect("bind a loopback port");
+        socket.set_read_timeout(Some(PATIENCE)).expect("set the read time-out");
         Self(socket)
     }
 
     fn source(&self) -> ListSource {
-        ListSource { resolver: self.0.local_addr().expect("an address"), zones: vec!["wien".to_owned()] }
+        ListSource { resolver: self.0.local_addr().expect("local address"), zones: vec!["wien".to_owned()] }
     }
 
     /// Waits for a query: its id and who asks.
     fn query(&self) -> (u16, SocketAddr) {
         let mut bytes = [0; 512];
-        let (_, from) = self.0.recv_from(&mut bytes).expect("a query");
+        let (_, from) = self.0.recv_from(&mut bytes).expect("receive a query");
         (u16::from_be_bytes([bytes[0], bytes[1]]), from)
     }
 
     fn answer(&self, (id, to): (u16, SocketAddr), serial: u32, exchanges: &[&str]) {
-        self.0.send_to(&answer(id, serial, exchanges), to).expect("sent");
+        self.0.send_to(&answer(id, serial, exchanges), to).expect("send a message");
     }
 }
 
@@ -49,17 +49,17 @@
         packet.additional_records.push(record(&target, RData::A(A { address: 0x7f00_0001 })));
         let text = ["kind=std", "cell=2", "started=0"];
         let text =
-            text.iter().try_fold(TXT::new(), |text, part| text.with_string(part)).expect("short texts");
+            text.iter().try_fold(TXT::new(), |text, part| text.with_string(part)).expect("valid text record");
         packet.additional_records.push(record(&target, RData::TXT(text)));
     }
     let (mname, rname) = (service.clone(), service.clone());
     let soa = SOA { mname, rname, serial, refresh: 1, retry: 1, expire: 1, minimum: 1 };
     packet.name_servers.push(ResourceRecord::new(service, CLASS::IN, 0, RData::SOA(soa)));
-    packet.build_bytes_vec().expect("an answer")
+    packet.build_bytes_vec().expect("build the answer")
 }
 
 fn names(list: &Receiver<Vec<ListEntry>>) -> Vec<String> {
-    let list = list.recv_timeout(PATIENCE).expect("a list");
+    let list = list.recv_timeout(PATIENCE).expect("list before the time-out");
     list.iter().map(|entry| entry.name.to_string()).collect()
 }
 
@@ -90,10 +90,10 @@
     first.answer(second_query, 4, &["old.wien.hosts"]);
     first.answer((late.0 ^ second_query.0 ^ 0x5555, late.1), 9, &["stray.wien.hosts"]);
     let whole = answer(second_query.0, 9, &["cut.wien.hosts"]);
-    first.0.send_to(&whole[..whole.len() - 9], second_query.1).expect("sent");
+    first.0.send_to(&whole[..whole.len() - 9], second_query.1).expect("send a message");
     first.answer(late, 6, &["a.wien.hosts", "b.wien.hosts"]);
     assert_eq!(names(&lists), ["a", "b"]);
-    mover.send(second.source()).expect("it runs");
+    mover.send(second.source()).expect("running event loop");
     let query = second.query();
     second.answer(query, 6, &["same.wien.hosts"]);
     second.answer(query, 7, &["c.wien.hosts"]);
