--- a/tests/replacement.rs
+++ b/tests/replacement.rs
@@ -1,5 +1,5 @@
-//! One process takes the place of another: in virtual time between two engines, and as two started programs that
-//! share a listening socket.
+//! Handover from a running process to its successor: between two engines in virtual time, and between two started
+//! programs that share a listening socket.
 
 #[path = "common/endpoints.rs"]
 mod endpoints;
@@ -25,80 +25,80 @@
 use swiftlb::interface::{Event, ListUpdateKind, ListedExchange, Outcome, Readiness, Reason};
 use swiftlb::net::handover;
 
-/// What one process has said to the other since it was last looked at.
-fn said(harness: &mut EngineHarness) -> Vec<SiblingMessage> {
-    let words = harness.effects.iter().filter_map(|effect| match effect {
-        Effect::ToSibling(word) => Some(word.clone()),
+/// Takes the messages that one process has sent to its sibling.
+fn take_sibling_messages(harness: &mut EngineHarness) -> Vec<SiblingMessage> {
+    let messages = harness.effects.iter().filter_map(|effect| match effect {
+        Effect::ToSibling(message) => Some(message.clone()),
         _ => None,
     });
-    let words = words.collect();
+    let messages = messages.collect();
     harness.effects.clear();
-    words
+    messages
 }
 
-fn listen(from: &mut EngineHarness, to: &mut EngineHarness) {
-    for word in said(from) {
-        to.handle(Input::SiblingMessage(word));
+/// Delivers these messages to the sibling.
+fn deliver(from: &mut EngineHarness, to: &mut EngineHarness) {
+    for message in take_sibling_messages(from) {
+        to.handle(Input::SiblingMessage(message));
     }
 }
 
-/// A process that takes the place of this one, started from what that hands over.
+/// Starts a successor of this process with the state that it hands over.
 fn successor(old: &mut EngineHarness) -> EngineHarness {
     old.effects.clear();
     old.handle(Input::SiblingMessage(SiblingMessage::HandoverRequest));
-    let mut inheritance = HandoverState::default();
-    for word in said(old) {
-        // Through the wire: nothing may be lost on the way.
-        let line = handover::format_message(&word);
+    let mut state = HandoverState::default();
+    for message in take_sibling_messages(old) {
+        // Each message is formatted and parsed, as on the socket, so that the test notices lost fields.
+        let line = handover::format_message(&message);
         match handover::parse_message(&line).expect("valid message") {
-            SiblingMessage::Exchange(entry) => inheritance.list.push(entry),
+            SiblingMessage::Exchange(entry) => state.list.push(entry),
             SiblingMessage::Learned { topic, exchange, values } => {
-                inheritance.learned.push((topic, exchange, values))
+                state.learned.push((topic, exchange, values))
             }
-            SiblingMessage::HandoverComplete { serial } => inheritance.serial = serial,
-            word => panic!("{word:?}"),
+            SiblingMessage::HandoverComplete { serial } => state.serial = serial,
+            message => panic!("{message:?}"),
         }
     }
     let mut new = EngineHarness::unconnected(3);
     new.effects.clear();
     new.now = old.now;
     new.exchange_conns.clear();
-    new.engine =
-        Engine::take_over(&config(3), inheritance, old.now, &mut new.effects).expect("valid settings");
-    let ways = new.effects.iter().filter_map(|effect| match effect {
+    new.engine = Engine::take_over(&config(3), state, old.now, &mut new.effects).expect("valid settings");
+    let exchange_conns = new.effects.iter().filter_map(|effect| match effect {
         Effect::ConnectExchange { exchange_conn, name, .. } => Some((name.to_string(), *exchange_conn)),
         _ => None,
     });
-    new.exchange_conns = ways.collect();
+    new.exchange_conns = exchange_conns.collect();
     new
 }
 
-/// Two processes of which the new one serves, and the old one has been told so.
-fn pair(old: &mut EngineHarness) -> EngineHarness {
+/// Starts a successor that serves; the old process knows that it does.
+fn serving_successor(old: &mut EngineHarness) -> EngineHarness {
     let mut new = successor(old);
     assert!(new.effects.contains(&Effect::Accept(false)) && !new.effects.contains(&Effect::Accept(true)));
     for place in [1, 2] {
-        assert!(said(&mut new).is_empty(), "it cannot serve yet");
+        assert!(take_sibling_messages(&mut new).is_empty(), "it cannot serve yet");
         new.handle(Input::ExchangeConnected {
             exchange_conn: new.exchange_conn(place),
             carries_calls: false,
         });
     }
     assert!(new.effects.contains(&Effect::Accept(true)));
-    listen(&mut new, old);
+    deliver(&mut new, old);
     assert!(old.effects.contains(&Effect::Accept(false)));
     new.handle(Input::CallerConnected { caller_conn: CALLER_CONN, front: Front::JsonLines });
     new
 }
 
 #[test]
-fn a_new_process_knows_what_the_old_one_has_learned_and_its_list() {
+fn a_successor_has_the_list_and_the_learned_values_of_its_predecessor() {
     let mut old = EngineHarness::new(3);
     old.handle(Input::List([0, 1].map(|place| engine_harness::list_entry(place, Readiness::Ready)).to_vec()));
     old.handle(Input::ListConfirmed { serial: 7 });
     old.handle(Input::GroupState { exchange_conn: old.exchange_conn(1), report: vec![0.0, 30.0] });
     let mut new = successor(&mut old);
-    assert_eq!(new.exchange_conns.len(), 1, "the list of the start has two others");
+    assert_eq!(new.exchange_conns.len(), 1, "the list in the configuration has two other exchanges");
     new.handle(Input::ExchangeConnected { exchange_conn: new.exchange_conn(1), carries_calls: false });
     new.handle(Input::CallerConnected { caller_conn: CALLER_CONN, front: Front::JsonLines });
     new.place_call(1, 1, 3_000);
@@ -110,23 +110,23 @@
 }
 
 #[test]
-fn the_old_process_leaves_once_nothing_is_open_or_stands() {
+fn the_predecessor_exits_when_no_call_is_open_or_established() {
     let mut old = EngineHarness::new(3);
     old.place_call(1, 1, 3_000);
     old.answer(1, 1);
     old.place_call(2, 1, 3_000);
-    let _new = pair(&mut old);
+    let _new = serving_successor(&mut old);
     old.handle(Input::Drain);
     old.advance(1_000);
     old.handle(Input::HealthCheck { caller_conn: CALLER_CONN, call: call_uid(99) });
     assert_eq!(
         old.caller_messages(99),
         [CallerMessage::HealthCheckResult { passed: true }],
-        "the softswitch takes work"
+        "the softswitch as a whole still accepts calls"
     );
     assert!(
         !old.effects.contains(&Effect::CloseCallerConnIfIdle { caller_conn: CALLER_CONN }),
-        "a set-up is open on it"
+        "a call on this connection is open"
     );
     old.answer(2, 1);
     old.advance(60);
@@ -134,57 +134,63 @@
     old.handle(Input::CallerDisconnected { caller_conn: CALLER_CONN });
     old.end_call(1, 1, Outcome::Completed, Reason::Unspecified);
     old.advance(2_000);
-    assert!(!old.effects.contains(&Effect::Exit), "a call still stands");
-    // Its caller is with the other process by now.
+    assert!(!old.effects.contains(&Effect::Exit), "a call is still established");
+    // The caller is connected to the successor by now.
     old.end_call(2, 1, Outcome::Completed, Reason::Unspecified);
     old.advance(60);
     assert!(old.effects.contains(&Effect::Exit));
-    assert!(said(&mut old).contains(&SiblingMessage::Release { call: call_uid(2), cut: false }));
+    assert!(
+        take_sibling_messages(&mut old).contains(&SiblingMessage::Release { call: call_uid(2), cut: false })
+    );
 }
 
 #[test]
-fn what_concerns_a_call_of_the_other_process_gets_there_and_is_told_once() {
+fn releases_of_the_siblings_calls_are_forwarded_and_reach_the_caller_once() {
     let mut old = EngineHarness::new(3);
     for call in [1, 2, 3] {
         old.place_call(call, 1, 3_000);
         old.answer(call, 1);
     }
-    let mut new = pair(&mut old);
-    // The caller's release comes to the new process, the exchange's word to either.
+    let mut new = serving_successor(&mut old);
+    // The caller's release arrives at the new process, that of the exchange at either one.
     new.handle(Input::HangUp { caller_conn: CALLER_CONN, call: call_uid(1), cause: 16 });
-    listen(&mut new, &mut old);
-    assert!(old.exchange_messages(1).iter().any(|(_, word)| *word == ExchangeMessage::Release { cause: 16 }));
+    deliver(&mut new, &mut old);
+    assert!(
+        old.exchange_messages(1)
+            .iter()
+            .any(|(_, message)| *message == ExchangeMessage::Release { cause: 16 })
+    );
     new.end_call(2, 1, Outcome::Completed, Reason::Unspecified);
     assert!(new.caller_messages(2).is_empty());
-    listen(&mut new, &mut old);
+    deliver(&mut new, &mut old);
     assert_eq!(old.caller_messages(2), [CallerMessage::Released { cut: false }]);
     old.handle(Input::CallerDisconnected { caller_conn: CALLER_CONN });
     old.end_call(3, 1, Outcome::Reset, Reason::Unspecified);
-    listen(&mut old, &mut new);
+    deliver(&mut old, &mut new);
     new.place_call(9, 1, 3_000);
     assert_eq!(new.caller_messages(3), [CallerMessage::Released { cut: true }]);
-    // JsonMessage again, it is old news on both sides.
+    // A repeated release is ignored by both processes.
     new.end_call(3, 1, Outcome::Reset, Reason::Unspecified);
-    listen(&mut new, &mut old);
-    listen(&mut old, &mut new);
+    deliver(&mut new, &mut old);
+    deliver(&mut old, &mut new);
     assert!(new.caller_messages(3).is_empty() && old.caller_messages(3).is_empty());
 }
 
 #[test]
-fn a_successor_that_dies_leaves_the_old_process_serving_and_an_old_one_that_is_gone_leaves_the_new_one() {
+fn either_process_continues_to_serve_when_its_sibling_dies() {
     let mut old = EngineHarness::new(3);
-    let mut new = pair(&mut old);
+    let mut new = serving_successor(&mut old);
     old.effects.clear();
     old.handle(Input::SiblingDisconnected);
     assert!(old.effects.contains(&Effect::Accept(true)));
     old.place_call(5, 1, 3_000);
     assert_eq!(old.setup_count(5), 1);
-    // An end of which nobody knows has nobody else to ask now.
+    // The release of an unknown call is not forwarded, because there is no sibling any more.
     new.handle(Input::SiblingDisconnected);
     new.effects.clear();
     new.end_call(77, 1, Outcome::Completed, Reason::Unspecified);
-    assert!(said(&mut new).is_empty());
-    // One that dies before it serves had taken nothing.
+    assert!(take_sibling_messages(&mut new).is_empty());
+    // A successor that dies before it serves has not taken over anything.
     let _dead = successor(&mut old);
     old.handle(Input::SiblingDisconnected);
     assert!(!old.effects.contains(&Effect::Accept(false)));
@@ -192,11 +198,11 @@
     old.advance(800);
     assert!(!old.effects.contains(&Effect::Exit), "a call is open");
     old.end_call(5, 1, Outcome::Busy, Reason::UserBusy);
-    assert!(old.effects.contains(&Effect::Exit), "without a successor, as ever");
+    assert!(old.effects.contains(&Effect::Exit), "without a successor the drain ends as usual");
 }
 
 #[test]
-fn beliefs_live_on_and_both_processes_together_keep_the_cold_budget() {
+fn learned_values_are_handed_over_and_both_processes_together_keep_the_budget_of_a_cold_exchange() {
     let mut settings = config(3).settings;
     settings.release_pause_ms = 500.0;
     let listed = |number: u32, started_ms: f64| {
@@ -204,16 +210,16 @@
         ListedExchange { id, number, zone: 0, started_ms, readiness: Readiness::Ready }
     };
     let start = 1_800_000_000_000.0;
-    let feed =
+    let handle =
         |controller: &mut Controller, at: f64, event: Event| controller.handle(at, event, &mut Vec::new());
     let list =
         |born| Event::List { kind: ListUpdateKind::Complete, entries: vec![listed(0, 0.0), listed(1, born)] };
     let mut old = Controller::new(settings.clone(), 1).expect("valid settings");
-    feed(&mut old, start, list(0.0));
+    handle(&mut old, start, list(0.0));
     let report = Some(vec![17.0, 30.0]);
     let exchange = listed(1, 0.0).id;
-    feed(&mut old, start, Event::ProbeResult { exchange, answered: true, elapsed_ms: 0.0, report });
-    let sent = |controller: &mut Controller, from: u32, at: f64| {
+    handle(&mut old, start, Event::ProbeResult { exchange, answered: true, elapsed_ms: 0.0, report });
+    let count_sent = |controller: &mut Controller, from: u32, at: f64| {
         let mut actions = Vec::new();
         let harness = EngineHarness::new(3);
         for call in from..from + 200 {
@@ -233,28 +239,33 @@
         drop(harness);
         actions.iter().filter(|a| matches!(a, swiftlb::interface::Action::Send { .. })).count()
     };
-    assert_eq!(sent(&mut old, 1, start), 200);
+    assert_eq!(count_sent(&mut old, 1, start), 200);
     let mut new = Controller::new(settings, 2).expect("valid settings");
-    feed(&mut new, start, list(0.0));
-    for belief in old.learned_values() {
-        new.apply_learned(&belief);
+    handle(&mut new, start, list(0.0));
+    for learned in old.learned_values() {
+        new.apply_learned(&learned);
     }
     assert_eq!(new.learned_values(), old.learned_values());
-    // The exchange starts again, cold, while both processes live: two halves are less than one whole.
+    // The exchange restarts, cold, while both processes run: each one may use half of the budget.
     let mut alone = old.clone();
     for (controller, processes) in [(&mut old, 2), (&mut new, 2), (&mut alone, 1)] {
         controller.set_process_count(processes);
-        feed(controller, start + 100.0, list(start + 100.0));
+        handle(controller, start + 100.0, list(start + 100.0));
     }
     let later = start + 600.0;
-    let (one, both) =
-        (sent(&mut alone, 1_000, later), sent(&mut old, 1_000, later) + sent(&mut new, 1_000, later));
-    assert!(one > 4 && both <= one + 2, "{both} by two processes, {one} by one");
+    let (one_process, two_processes) = (
+        count_sent(&mut alone, 1_000, later),
+        count_sent(&mut old, 1_000, later) + count_sent(&mut new, 1_000, later),
+    );
+    assert!(
+        one_process > 4 && two_processes <= one_process + 2,
+        "{two_processes} calls by two processes, {one_process} by one"
+    );
 }
 
 // ---- two programs ----
 
-/// A folder of its own, gone with the test.
+/// A temporary folder that is removed at the end of the test.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -271,16 +282,16 @@
     }
 }
 
-/// A started program; it is killed with the test.
+/// A started program; it is killed at the end of the test.
 struct Program {
     child: Child,
     operator_address: SocketAddr,
 }
 
 impl Program {
-    /// Inherits the listener as its standard input, which is a descriptor like any other.
+    /// Starts the program with the listener as its standard input, descriptor 0.
     fn start(listener: &TcpListener, folder: &Path) -> Self {
-        // A port that is free now; the system gives each only once in a while.
+        // A port that is free now; the system does not assign it again soon.
         let operator_address =
             TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("bind a loopback port");
         let listener: OwnedFd = listener.try_clone().expect("duplicate the descriptor").into();
@@ -303,7 +314,8 @@
         Self { child, operator_address }
     }
 
-    /// Waits until it says that it can serve; one without a predecessor would wait for the resolver, too.
+    /// Waits until the program is ready. Only for successors: without a predecessor, a program is not ready before the
+    /// resolver has answered.
     fn ready(self) -> Self {
         while operator_request(self.operator_address, "GET /ops/readiness").0 != 200 {
             std::thread::sleep(Duration::from_millis(10));
@@ -324,8 +336,8 @@
     }
 }
 
-/// What two programs share: the listening socket, the folder, one exchange.
-fn stage(name: &str) -> (TcpListener, Folder, ListeningExchange, UdpSocket) {
+/// What two programs share: the listening socket, the folder, one exchange and the resolver.
+fn shared_setup(name: &str) -> (TcpListener, Folder, ListeningExchange, UdpSocket) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback port");
     let (folder, exchange) = (Folder::new(name), ListeningExchange::new());
     let resolver = UdpSocket::bind("127.0.0.1:0").expect("bind a loopback port");
@@ -352,88 +364,88 @@
 
 #[test]
 fn two_programs_serve_as_one_on_an_inherited_listener() {
-    let (listener, folder, exchange, _resolver) = stage("two");
+    let (listener, folder, exchange, _resolver) = shared_setup("two");
     let address = listener.local_addr().expect("local address");
     let mut old = Program::start(&listener, &folder.0);
-    let mut at_old = exchange.accept();
+    let mut exchange_at_old = exchange.accept();
     let mut caller = JsonLinesConn::connect(address);
-    set_up(&mut caller, &mut at_old, "00000000000000a1");
-    set_up(&mut caller, &mut at_old, "00000000000000a2");
+    set_up(&mut caller, &mut exchange_at_old, "00000000000000a1");
+    set_up(&mut caller, &mut exchange_at_old, "00000000000000a2");
     let new = Program::start(&listener, &folder.0).ready();
-    let mut at_new = at_old.accept_another();
+    let mut exchange_at_new = exchange_at_old.accept_another();
     old.terminate();
-    // The old one's connection is closed as nothing is open on it; new ones are the new one's.
+    // The predecessor closes its idle connection; the successor accepts new ones.
     assert!(caller.receive().is_none());
     let mut caller = JsonLinesConn::connect(address);
-    set_up(&mut caller, &mut at_new, "00000000000000b1");
-    // Each word on a call of the old one gets there: the caller's release, and the exchange's.
+    set_up(&mut caller, &mut exchange_at_new, "00000000000000b1");
+    // Releases of the predecessor's calls reach it from both sides: from the caller and from the exchange.
     caller.send(r#"{"kind":"stop","uid":"00000000000000a1","meta":{},"reason":16}"#);
-    at_old.expect("stop", "00000000000000a1");
-    at_old.send(r#"{"kind":"stop","uid":"00000000000000a2","meta":{},"reason":16}"#);
+    exchange_at_old.expect("stop", "00000000000000a1");
+    exchange_at_old.send(r#"{"kind":"stop","uid":"00000000000000a2","meta":{},"reason":16}"#);
     assert_eq!(caller.expect("stop", "00000000000000a2").cause(), 16.0);
-    assert!(old.child.wait().expect("wait for the process").success(), "nothing is left at the old one");
-    // Handsets are the new one's as well, once it has their address.
+    assert!(old.child.wait().expect("wait for the process").success(), "the predecessor exits without calls");
+    // The successor serves IAX2 as well, once it has bound the address.
     let iax2 = std::fs::read_to_string(folder.0.join("iax2.json")).expect("access the file");
-    let handsets =
+    let iax2_address =
         Iax2Config::parse(&iax2).expect("valid configuration").expect("address of the IAX2 front").listen;
     let mut phone = Iax2Endpoint::new(20);
-    let new_call = phone.call(handsets, "17");
+    let new_call = phone.call(iax2_address, "17");
     phone.socket.set_read_timeout(Some(Duration::from_millis(50))).expect("set the read time-out");
-    let mut tries = 0;
+    let mut attempts = 0;
     while phone.socket.peek(&mut [0]).is_err() {
-        tries += 1;
-        assert!(tries < 160, "the address is free");
+        attempts += 1;
+        assert!(attempts < 160, "the successor must bind the IAX2 address");
         phone.send_frame(&new_call);
     }
     phone.socket.set_read_timeout(Some(Duration::from_secs(8))).expect("set the read time-out");
-    let handset = at_new.receive().expect("a set-up").text("uid");
-    at_new.send(&format!(r#"{{"kind":"running","uid":"{handset}","meta":{{}},"body":""}}"#));
+    let iax2_call = exchange_at_new.receive().expect("a set-up").text("uid");
+    exchange_at_new.send(&format!(r#"{{"kind":"running","uid":"{iax2_call}","meta":{{}},"body":""}}"#));
     phone.expect(FrameType::Iax, iax::ACCEPT);
-    set_up(&mut caller, &mut at_new, "00000000000000b2");
+    set_up(&mut caller, &mut exchange_at_new, "00000000000000b2");
     assert_eq!(operator_request(new.operator_address, "GET /ops/readiness").0, 200);
-    // The next one finds it, and it serves on when that dies.
+    // The next successor connects to this process, which continues to serve when that successor dies.
     let next = Program::start(&listener, &folder.0).ready();
-    let _at_next = at_old.accept_another();
+    let _exchange_at_next = exchange_at_old.accept_another();
     drop(next);
     let mut again = JsonLinesConn::connect(address);
-    set_up(&mut again, &mut at_new, "00000000000000b3");
+    set_up(&mut again, &mut exchange_at_new, "00000000000000b3");
 }
 
 #[test]
-fn a_place_that_is_stale_or_full_of_nonsense_makes_a_start_like_any_other() {
-    let (listener, folder, exchange, _resolver) = stage("stale");
+fn a_stale_or_invalid_handover_socket_leads_to_an_ordinary_start() {
+    let (listener, folder, exchange, _resolver) = shared_setup("stale");
     let address = listener.local_addr().expect("local address");
-    let place = handover::socket_path(&folder.0, address);
-    let mut listener_of_nonsense = Some(UnixListener::bind(&place).expect("bind the Unix socket"));
+    let socket_path = handover::socket_path(&folder.0, address);
+    let mut invalid_listener = Some(UnixListener::bind(&socket_path).expect("bind the Unix socket"));
     let mut exchange = Some(exchange);
     let mut lines: Option<JsonLinesConn> = None;
     for round in 0..3 {
-        let nonsense = listener_of_nonsense.take().filter(|_| round == 0).map(|listener| {
+        let invalid_peer = invalid_listener.take().filter(|_| round == 0).map(|listener| {
             std::thread::spawn(move || {
                 let (mut stream, _) = listener.accept().expect("accept the successor");
                 stream.write_all(b"{\"say\":\"exchange\"}\nnonsense\n").expect("write to the socket");
             })
         });
         if round == 2 {
-            // A file that is no socket at all.
-            let _ = std::fs::remove_file(&place);
-            std::fs::write(&place, "nonsense").expect("access the file");
+            // A regular file instead of a socket.
+            let _ = std::fs::remove_file(&socket_path);
+            std::fs::write(&socket_path, "nonsense").expect("access the file");
         }
         let program = Program::start(&listener, &folder.0);
-        let mut at = match (exchange.take(), lines.take()) {
+        let mut exchange_conn = match (exchange.take(), lines.take()) {
             (Some(exchange), _) => exchange.accept(),
             (None, Some(mut lines)) => {
                 lines.accept_next();
                 lines
             }
-            (None, None) => unreachable!("one of them is there"),
+            (None, None) => unreachable!("one of them is set"),
         };
         let mut caller = JsonLinesConn::connect(address);
-        set_up(&mut caller, &mut at, "00000000000000c1");
-        if let Some(nonsense) = nonsense {
-            nonsense.join().expect("thread without a panic");
+        set_up(&mut caller, &mut exchange_conn, "00000000000000c1");
+        if let Some(invalid_peer) = invalid_peer {
+            invalid_peer.join().expect("thread without a panic");
         }
-        lines = Some(at);
+        lines = Some(exchange_conn);
         drop(program);
     }
 }
