--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The program as it is started: its sub-commands, its files, and the order to stop.
+//! The command line of the program: sub-commands, configuration files and signals.
 
 #[path = "common/engine_harness.rs"]
 mod engine_harness;
@@ -10,83 +10,92 @@
 
 use swiftlb::iax2::Iax2Config;
 
-/// A program that does not outlive its test, which would keep whoever reads the test's output waiting.
-struct Ended(Child);
+/// A started program that is killed at the end of the test. A program that outlives its test would hold the pipe of
+/// the test's output open, and its reader would wait.
+struct KillOnDrop(Child);
 
-impl Drop for Ended {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-fn swiftlb(words: &[&str]) -> Output {
+fn swiftlb(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_swiftlb"));
-    command.args(words).env_remove("NODE_CONFIG").current_dir(env!("CARGO_MANIFEST_DIR"));
+    command.args(args).env_remove("NODE_CONFIG").current_dir(env!("CARGO_MANIFEST_DIR"));
     command.output().expect("start the program")
 }
 
-fn said(output: &Output) -> (bool, String) {
+fn status_and_stdout(output: &Output) -> (bool, String) {
     (output.status.success(), String::from_utf8_lossy(&output.stdout).into_owned())
 }
 
 #[test]
-fn the_sub_commands_do_what_the_readme_says() {
-    assert_eq!(said(&swiftlb(&["version"])), (true, format!("swiftlb {}\n", env!("CARGO_PKG_VERSION"))));
+fn the_sub_commands_print_what_the_readme_documents() {
+    assert_eq!(
+        status_and_stdout(&swiftlb(&["version"])),
+        (true, format!("swiftlb {}\n", env!("CARGO_PKG_VERSION")))
+    );
     let toy = ["check-config", "examples/toy/config.json", "--iax2", "examples/toy/iax2.json"];
     assert_eq!(
-        said(&swiftlb(&toy)),
+        status_and_stdout(&swiftlb(&toy)),
         (true, "toy: 3 exchanges, 2 classes\nIAX2 on 127.0.0.1:4569\nrecords off\n".to_owned())
     );
-    let (fine, text) = said(&swiftlb(&["check-config", "examples/toy/config.json"]));
+    let (success, text) = status_and_stdout(&swiftlb(&["check-config", "examples/toy/config.json"]));
     assert!(
-        fine && text.ends_with("IAX2 off\nrecords off\n"),
-        "the platform's own files leave all off: {text}"
+        success && text.ends_with("IAX2 off\nrecords off\n"),
+        "the optional subsystems are off without their files: {text}"
     );
     let log = std::env::temp_dir().join(format!("swiftlb-cli-{}.log", std::process::id()));
     let line = "h - - [01/Jul/2026:10:00:01 +0000] \"GET /parts/3 HTTP/1.1\" 200 5\n";
     std::fs::write(&log, line).expect("access the file");
     let path = log.to_str().expect("UTF-8 path");
-    assert!(said(&swiftlb(&["load", path])).1.starts_with("calls      1 (1 served, 0 not readable)\n"));
-    let (fine, setups) = said(&swiftlb(&["load", "--setups", "--times", "--dest", "2", path]));
     assert!(
-        fine && setups.starts_with("0.000\t{\"kind\":\"launch\"") && setups.contains("dest:2;"),
+        status_and_stdout(&swiftlb(&["load", path]))
+            .1
+            .starts_with("calls      1 (1 served, 0 not readable)\n")
+    );
+    let (success, setups) =
+        status_and_stdout(&swiftlb(&["load", "--setups", "--times", "--dest", "2", path]));
+    assert!(
+        success && setups.starts_with("0.000\t{\"kind\":\"launch\"") && setups.contains("dest:2;"),
         "{setups}"
     );
     std::fs::remove_file(&log).expect("remove the file");
 }
 
 #[test]
-fn what_cannot_be_done_is_said_and_is_a_failure() {
-    for words in [&["serve"][..], &["nonsense"], &["load"], &["check-config", "README.md"], &["--nonsense"]] {
-        let output = swiftlb(words);
-        assert!(!output.status.success() && output.stderr.starts_with(b"swiftlb: "), "{words:?}: {output:?}");
+fn invalid_arguments_and_files_are_reported_with_a_failure_status() {
+    for args in [&["serve"][..], &["nonsense"], &["load"], &["check-config", "README.md"], &["--nonsense"]] {
+        let output = swiftlb(args);
+        assert!(!output.status.success() && output.stderr.starts_with(b"swiftlb: "), "{args:?}: {output:?}");
     }
-    for wrong in
+    for invalid in
         ["{}", "[]", r#"{"enabled":1}"#, r#"{"enabled":true,"listen":"here","contexts":[],"nodes":[]}"#]
     {
-        assert!(Iax2Config::parse(wrong).is_err(), "{wrong}");
+        assert!(Iax2Config::parse(invalid).is_err(), "{invalid}");
     }
 }
 
 #[test]
-fn a_started_program_reads_its_configuration_again_on_sighup_and_ends_well_on_sigterm() {
+fn the_program_reloads_its_configuration_on_sighup_and_exits_with_success_on_sigterm() {
     let file = std::env::temp_dir().join(format!("swiftlb-serve-{}.json", std::process::id()));
     let resolvers = [0, 1].map(|_| UdpSocket::bind("127.0.0.1:0").expect("bind a loopback port"));
     let text = resolvers.each_ref().map(|resolver| {
         resolver.set_read_timeout(Some(Duration::from_secs(8))).expect("set the read time-out");
-        let names = resolver.local_addr().expect("local address").to_string();
-        engine_harness::config_json("127.0.0.1:0", &names, &["127.0.0.1:9".to_owned()])
+        let resolver_address = resolver.local_addr().expect("local address").to_string();
+        engine_harness::config_json("127.0.0.1:0", &resolver_address, &["127.0.0.1:9".to_owned()])
     });
     std::fs::write(&file, &text[0]).expect("access the file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_swiftlb"));
     command.env("NODE_CONFIG", &file).stderr(Stdio::piped());
-    let mut child = Ended(command.spawn().expect("start the program"));
+    let mut child = KillOnDrop(command.spawn().expect("start the program"));
     let mut log = BufReader::new(child.0.stderr.take().expect("piped standard error")).lines();
     let line = log.next().expect("next line").expect("UTF-8 text");
     let address =
         line.split_once("serves name=\"n0\" address=").expect("address in the log line").1.to_owned();
-    let passes_a_test = || {
+    let check_health = || {
         let mut stream = TcpStream::connect(&address).expect("connect");
         stream
             .write_all(b"{\"kind\":\"check\",\"uid\":\"0000000000000001\",\"meta\":{},\"reason\":0}\n")
@@ -95,46 +104,49 @@
         BufReader::new(stream).read_line(&mut answer).expect("next line");
         assert_eq!(answer, "{\"kind\":\"checked\",\"uid\":\"0000000000000001\",\"meta\":{},\"reason\":1}\n");
     };
-    passes_a_test();
+    check_health();
     let id = child.0.id().to_string();
     let signal =
         |name: &str| assert!(Command::new("kill").args([name, &id]).status().expect("run kill").success());
-    // The first resolver is asked, and after the order the second; a file that makes no sense changes nothing.
+    // The program queries the first resolver, and the second one after a reload; an invalid file changes nothing.
     resolvers[0].recv(&mut [0; 512]).expect("receive a query");
     std::fs::write(&file, "{").expect("access the file");
     signal("-HUP");
-    let mut said = log.by_ref().map(|line| line.expect("UTF-8 text"));
-    assert!(said.any(|line| line.contains("configuration refused")), "it says so");
-    passes_a_test();
+    let mut log_lines = log.by_ref().map(|line| line.expect("UTF-8 text"));
+    assert!(
+        log_lines.any(|line| line.contains("configuration refused")),
+        "the refused configuration must be logged"
+    );
+    check_health();
     std::fs::write(&file, &text[1]).expect("access the file");
     signal("-HUP");
     resolvers[1].recv(&mut [0; 512]).expect("receive a query");
-    passes_a_test();
+    check_health();
     signal("-TERM");
     assert!(child.0.wait().expect("wait for the process").success());
     std::fs::remove_file(&file).expect("remove the file");
 }
 
 #[test]
-fn a_log_that_nobody_reads_holds_no_call_up() {
+fn an_unread_log_does_not_block_calls() {
     let file = std::env::temp_dir().join(format!("swiftlb-log-{}.json", std::process::id()));
     std::fs::write(&file, engine_harness::config_json("127.0.0.1:0", "127.0.0.1:9", &[]))
         .expect("access the file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_swiftlb"));
     command.args(["serve", "--log-format", "json"]).env("NODE_CONFIG", &file).stderr(Stdio::piped());
-    let mut child = Ended(command.spawn().expect("start the program"));
+    let mut child = KillOnDrop(command.spawn().expect("start the program"));
     let mut log = BufReader::new(child.0.stderr.take().expect("piped standard error"));
     let mut line = String::new();
     log.read_line(&mut line).expect("next line");
     let json: tinyjson::JsonValue = line.parse().expect("valid JSON");
-    let field = |key: &str| json["fields"][key].get::<String>().expect("UTF-8 text").clone();
+    let field = |key: &str| json["fields"][key].get::<String>().expect("JSON string").clone();
     assert_eq!(
-        (field("message"), json["level"].get::<String>().expect("UTF-8 text").as_str()),
+        (field("message"), json["level"].get::<String>().expect("JSON string").as_str()),
         ("serves".into(), "INFO")
     );
     let address = field("address");
     let id = child.0.id().to_string();
-    // Each refused order to read the configuration again is a line of the log: these fill the pipe, which nobody reads.
+    // Each reload of an invalid configuration logs one line; these lines fill the pipe, which the test does not read.
     std::fs::write(&file, "{").expect("access the file");
     for _ in 0..2_000 {
         assert!(Command::new("kill").args(["-HUP", &id]).status().expect("run kill").success());
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' door on loopback: its answers, its figures, and that callers cannot hold it up.
+//! The operators' server on loopback: its replies, its metrics, and that clients without a request cannot block it.
 
 #[path = "common/endpoints.rs"]
 mod endpoints;
@@ -23,9 +23,9 @@
 }
 
 #[test]
-fn each_call_has_its_answer_and_what_is_none_is_turned_away() {
+fn each_endpoint_replies_and_invalid_requests_are_rejected() {
     let (switch, _exchange) = one_exchange();
-    for (call, status) in [
+    for (request, status) in [
         ("GET /ops/stats", 200),
         ("GET /ops/stats?all=1", 200),
         ("PUT /ops/drain/stop", 200),
@@ -33,7 +33,7 @@
         ("PUT /ops/readiness", 405),
         ("GET /ops/drain/start", 405),
     ] {
-        assert_eq!(switch.operator_request(call).0, status, "{call}");
+        assert_eq!(switch.operator_request(request).0, status, "{request}");
     }
     let mut stream = TcpStream::connect(switch.operator_address).expect("connect");
     stream.write_all(b"\x01\x02\r\n\r\n").expect("write to the socket");
@@ -41,7 +41,7 @@
     let mut stream = TcpStream::connect(switch.operator_address).expect("connect");
     stream.write_all(format!("GET /{}", "x".repeat(MAX_HEAD_BYTES)).as_bytes()).expect("write to the socket");
     assert_eq!(read_reply(stream).0, 431);
-    // A head in pieces, with a body behind it that nobody waits for.
+    // A head in several pieces, with an incomplete body that the server does not wait for.
     let mut stream = TcpStream::connect(switch.operator_address).expect("connect");
     for piece in ["PUT /ops/dra", "in/stop HTTP/1.1\r\nContent-Length: 9\r\n", "\r\nabc"] {
         stream.write_all(piece.as_bytes()).expect("write to the socket");
@@ -50,31 +50,31 @@
 }
 
 #[test]
-fn those_who_hold_the_door_open_and_say_nothing_make_room() {
+fn connections_without_a_complete_request_are_closed_for_new_ones() {
     let (switch, _exchange) = one_exchange();
-    let mut held: Vec<TcpStream> = (0..40)
+    let mut idle: Vec<TcpStream> = (0..40)
         .map(|n| {
             let mut stream = TcpStream::connect(switch.operator_address).expect("connect");
-            // One that was put out already may be found closed.
+            // The write fails if the server has closed the connection already.
             let _ = stream.write_all(&b"GET /ops/sta"[..n % 12]);
             stream
         })
         .collect();
     assert_eq!(switch.operator_request("GET /ops/stats").0, 200);
-    // The oldest is gone long before it would be for its silence.
-    let (end, waited) = timed(|| held[0].read(&mut [0]));
-    assert!(!matches!(end, Ok(1..)) && waited < Duration::from_secs(4), "{end:?} after {waited:?}");
+    // The oldest connection is closed long before the time-out for a request.
+    let (end, elapsed) = timed(|| idle[0].read(&mut [0]));
+    assert!(!matches!(end, Ok(1..)) && elapsed < Duration::from_secs(4), "{end:?} after {elapsed:?}");
 }
 
 #[test]
-fn figures_count_calls_of_both_fronts_by_class_and_outcome_and_attempts() {
+fn metrics_count_the_calls_of_both_fronts_by_class_and_result_and_the_attempts() {
     let (switch, mut exchange) = one_exchange();
-    let of = |class: &str, result: &str| {
+    let counter = |class: &str, result: &str| {
         format!("svc_downstream_requests{{lane=\"{class}\",result=\"{result}\"}}")
     };
     for class in ["status", "lookup"] {
         for result in ["completed", "rejected", "failed"] {
-            assert_eq!(switch.metric(&of(class, result)), "0", "each is there from the start");
+            assert_eq!(switch.metric(&counter(class, result)), "0", "all are reported from the start");
         }
     }
     assert_eq!(switch.metric("svc_members"), "2");
@@ -90,23 +90,23 @@
     assert_eq!(switch.metric("svc_pending"), "1");
     exchange.send(&format!(r#"{{"kind":"running","uid":"{CALL}","meta":{{}},"body":""}}"#));
     caller.expect("running", CALL);
-    assert_eq!(switch.metric("svc_pending"), "1", "it stands, so it has not ended");
+    assert_eq!(switch.metric("svc_pending"), "1", "an established call has not ended");
     exchange.send(&format!(r#"{{"kind":"stop","uid":"{CALL}","meta":{{}},"reason":16}}"#));
     caller.expect("stop", CALL);
-    // A call to nowhere is refused, one that finds the number busy fails.
+    // A call to an unknown destination is refused; one to a busy number fails.
     caller.send(&launch_line("00000000000000aa", 9, 1_500));
     caller.expect("stop", "00000000000000aa");
     let mut phone = Iax2Endpoint::new(20);
     phone.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
-    let handset = exchange.receive().expect("a set-up").text("uid");
+    let iax2_call = exchange.receive().expect("a set-up").text("uid");
     exchange
-        .send(&format!(r#"{{"kind":"stop","uid":"{handset}","meta":{{"note":"user_busy"}},"reason":17}}"#));
+        .send(&format!(r#"{{"kind":"stop","uid":"{iax2_call}","meta":{{"note":"user_busy"}},"reason":17}}"#));
     phone.expect(FrameType::Iax, iax::REJECT);
     for (name, value) in [
-        (of("status", "completed"), "1"),
-        (of("status", "rejected"), "1"),
-        (of("status", "failed"), "0"),
-        (of("lookup", "failed"), "1"),
+        (counter("status", "completed"), "1"),
+        (counter("status", "rejected"), "1"),
+        (counter("status", "failed"), "0"),
+        (counter("lookup", "failed"), "1"),
         ("svc_upstream_requests".to_owned(), "2"),
         ("svc_pending".to_owned(), "0"),
     ] {
@@ -118,18 +118,18 @@
     #![proptest_config(ProptestConfig { rng_seed: prop::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::with_cases(300) })]
 
     #[test]
-    fn a_call_is_read_alike_however_it_is_cut_and_garbage_is_no_call(
+    fn a_request_is_parsed_alike_in_any_number_of_pieces_and_garbage_is_not_a_request(
         cut in 0_usize..60, noise in prop::collection::vec(any::<u8>(), 0..200), at in 0_usize..40,
     ) {
-        let whole = b"PUT /ops/drain/start HTTP/1.1\r\nHost: a\r\n\r\n";
-        let cut = cut.min(whole.len());
-        let expected = if cut == whole.len() { Some(OperatorRequest::DrainStart) } else { None };
-        prop_assert_eq!(ops::parse_request(&whole[..cut], false), Ok(expected));
-        let mut spoilt = whole.to_vec();
-        spoilt.splice(at..at, noise.iter().copied());
-        // Whatever it says, it says so without a panic, and never that it is another call.
-        if let Ok(Some(order)) = ops::parse_request(&spoilt, false) {
-            prop_assert_eq!(order, OperatorRequest::DrainStart);
+        let complete = b"PUT /ops/drain/start HTTP/1.1\r\nHost: a\r\n\r\n";
+        let cut = cut.min(complete.len());
+        let expected = if cut == complete.len() { Some(OperatorRequest::DrainStart) } else { None };
+        prop_assert_eq!(ops::parse_request(&complete[..cut], false), Ok(expected));
+        let mut corrupt = complete.to_vec();
+        corrupt.splice(at..at, noise.iter().copied());
+        // Any result is fine, except for a panic or another request.
+        if let Ok(Some(request)) = ops::parse_request(&corrupt, false) {
+            prop_assert_eq!(request, OperatorRequest::DrainStart);
         }
         prop_assert_ne!(ops::parse_request(&noise, false), Ok(Some(OperatorRequest::DrainStart)));
         prop_assert_eq!(ops::parse_request(&vec![b'a'; MAX_HEAD_BYTES], false), Err(RequestError::TooLong));
--- a/tests/resolver.rs
+++ b/tests/resolver.rs
@@ -1,4 +1,5 @@
-//! The resolver's client against a stand-in on loopback: which lists count, and a resolver that moves.
+//! The resolver's client against a simulated resolver on loopback: which lists are accepted, and a change of the
+//! resolver's address.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
@@ -9,15 +10,15 @@
 use swiftlb::engine::ListEntry;
 use swiftlb::net::dns::{self, ListSource};
 
-/// Nothing that is waited for takes this long.
-const PATIENCE: Duration = Duration::from_secs(8);
+/// Time-out of every wait; a test that reaches it fails.
+const TIMEOUT: Duration = Duration::from_secs(8);
 
 struct Resolver(UdpSocket);
 
 impl Resolver {
     fn new() -> Self {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("bind a loopback port");
-        socket.set_read_timeout(Some(PATIENCE)).expect("set the read time-out");
+        socket.set_read_timeout(Some(TIMEOUT)).expect("set the read time-out");
         Self(socket)
     }
 
@@ -25,7 +26,7 @@
         ListSource { resolver: self.0.local_addr().expect("local address"), zones: vec!["wien".to_owned()] }
     }
 
-    /// Waits for a query: its id and who asks.
+    /// Waits for a query; returns its id and the address that it came from.
     fn query(&self) -> (u16, SocketAddr) {
         let mut bytes = [0; 512];
         let (_, from) = self.0.recv_from(&mut bytes).expect("receive a query");
@@ -37,7 +38,7 @@
     }
 }
 
-/// A whole answer that lists these exchanges.
+/// A complete answer that lists these exchanges.
 fn answer(id: u16, serial: u32, exchanges: &[&str]) -> Vec<u8> {
     let service = Name::new_unchecked("_api._tcp.svc.local");
     let mut packet = Packet::new_reply(id);
@@ -59,12 +60,12 @@
 }
 
 fn names(list: &Receiver<Vec<ListEntry>>) -> Vec<String> {
-    let list = list.recv_timeout(PATIENCE).expect("list before the time-out");
+    let list = list.recv_timeout(TIMEOUT).expect("list before the time-out");
     list.iter().map(|entry| entry.name.to_string()).collect()
 }
 
 #[test]
-fn serials_count_round() {
+fn serials_wrap_around() {
     assert!(
         dns::is_newer_serial(2, 1)
             && dns::is_newer_serial(0, u32::MAX)
@@ -74,26 +75,28 @@
 }
 
 #[test]
-fn only_later_lists_count_also_late_answers_do_and_serials_go_on_when_the_resolver_moves() {
+fn only_newer_lists_are_accepted_also_from_late_answers_and_after_a_change_of_the_resolver() {
     let (first, second) = (Resolver::new(), Resolver::new());
-    let (told, lists) = bounded(16);
-    let (mover, moves) = bounded(1);
+    let (list_sender, lists) = bounded(16);
+    let (source_sender, source_changes) = bounded(1);
     let source = first.source();
     let follow = move || {
-        dns::follow_list(source, 5, 1, &moves, |_, list| list.is_none_or(|list| told.send(list).is_ok()))
+        dns::follow_list(source, 5, 1, &source_changes, |_, list| {
+            list.is_none_or(|list| list_sender.send(list).is_ok())
+        })
     };
     std::thread::spawn(follow);
-    let late = first.query();
-    let second_query = first.query();
-    // An older list, one under an id that was never asked with, and one cut short tell nothing; the answer to
-    // the query before the last one does.
-    first.answer(second_query, 4, &["old.wien.hosts"]);
-    first.answer((late.0 ^ second_query.0 ^ 0x5555, late.1), 9, &["stray.wien.hosts"]);
-    let whole = answer(second_query.0, 9, &["cut.wien.hosts"]);
-    first.0.send_to(&whole[..whole.len() - 9], second_query.1).expect("send a message");
-    first.answer(late, 6, &["a.wien.hosts", "b.wien.hosts"]);
+    let earlier_query = first.query();
+    let later_query = first.query();
+    // Ignored: an older list, an answer with an unknown id and a truncated answer. Accepted: the answer to the query
+    // before the last one.
+    first.answer(later_query, 4, &["old.wien.hosts"]);
+    first.answer((earlier_query.0 ^ later_query.0 ^ 0x5555, earlier_query.1), 9, &["stray.wien.hosts"]);
+    let complete = answer(later_query.0, 9, &["cut.wien.hosts"]);
+    first.0.send_to(&complete[..complete.len() - 9], later_query.1).expect("send a message");
+    first.answer(earlier_query, 6, &["a.wien.hosts", "b.wien.hosts"]);
     assert_eq!(names(&lists), ["a", "b"]);
-    mover.send(second.source()).expect("running event loop");
+    source_sender.send(second.source()).expect("running event loop");
     let query = second.query();
     second.answer(query, 6, &["same.wien.hosts"]);
     second.answer(query, 7, &["c.wien.hosts"]);
