--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,9 +1,9 @@
 //! A non-blocking TCP connection: it reads lines, and queues and writes messages.
 //!
-//! Connections have no threads of their own. With two small-stack threads per connection, a process that shares its
-//! processor is stopped and continued many times a second; each time every thread wakes up, and with 330 threads
-//! that alone used all of the available processor time. One thread polls all sockets instead, with `mio`, because
-//! the standard library has no poll.
+//! The platform's guidelines ask for small-stack threads, but two threads per connection cost too much: on a shared
+//! processor the process is stopped and continued many times a second, every thread wakes up each time, and with 330
+//! threads this alone used all of the available processor time. So one thread polls all sockets, with `mio`, because
+//! the standard library cannot poll.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, Read, Write};
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -107,7 +107,7 @@
     last_caller_conn: CallerConnId,
     /// Inputs for the reducer, oldest first.
     inputs: VecDeque<Input>,
-    /// Set when every call is answered: when the process exits at the latest.
+    /// Time at which the process exits at the latest; set as soon as every call is answered.
     exit_deadline: Option<SystemTime>,
 }
 
@@ -189,13 +189,13 @@
 
     /// Writes all queued messages, for at most `limit`, and then the remaining records.
     pub(super) fn flush_and_stop(&mut self, limit: Duration) {
-        self.flush_all(limit);
+        self.flush_all_connections(limit);
         if self.recorder.take().is_some_and(|(recorder, _)| !recorder.stop(FINAL_RECORDS_TIMEOUT)) {
             tracing::warn!("time-out while writing the last records; some are lost");
         }
     }
 
-    fn flush_all(&mut self, limit: Duration) {
+    fn flush_all_connections(&mut self, limit: Duration) {
         let deadline = SystemTime::now() + limit;
         loop {
             let all = self.caller_conns.values_mut().chain(self.exchange_conns.values_mut());
@@ -235,7 +235,7 @@
             if let Some(connection) = self.connection(conn_id) {
                 connection.flush();
                 let attempts = connection.take_written_count();
-                self.report_written(attempts);
+                self.report_written_attempts(attempts);
             }
         }
     }
@@ -333,7 +333,7 @@
                     if matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
                 Err(error) => {
                     // Most likely out of file descriptors: other connections have to close first.
-                    tracing::warn!(%error, "cannot accept a connection from a caller; retrying in 20 ms");
+                    tracing::warn!(%error, "cannot accept a connection from a caller; retrying shortly");
                     self.accept_retry_at = Some(SystemTime::now() + ACCEPT_RETRY);
                     return;
                 }
@@ -408,7 +408,7 @@
         }
         connection.flush();
         let attempts = connection.take_written_count();
-        self.report_written(attempts);
+        self.report_written_attempts(attempts);
         let Some(connection) = self.exchange_conns.get_mut(&exchange_conn) else { return };
         let (inputs, names) = (&mut self.inputs, &self.report_field_names);
         let read = connection.read_lines(|line, _| {
@@ -546,7 +546,7 @@
                 Some(mut connection) => {
                     connection.flush();
                     let attempts = connection.take_written_count();
-                    self.report_written(attempts);
+                    self.report_written_attempts(attempts);
                     connection.shutdown();
                 }
                 None => {
@@ -604,7 +604,7 @@
             }
             self.send(ConnId::Exchange(exchange_conn), &message);
         } else {
-            self.report_written(u64::from(is_attempt));
+            self.report_written_attempts(u64::from(is_attempt));
             self.with_iax2(|iax2, out| {
                 iax2.endpoint.send_to_exchange(SystemTime::now(), exchange_conn, call, message, out)
             });
@@ -612,7 +612,7 @@
     }
 
     /// Tells the reducer how many set-ups were completely written to an exchange.
-    fn report_written(&mut self, attempts: u64) {
+    fn report_written_attempts(&mut self, attempts: u64) {
         if attempts > 0 {
             self.inputs.push_back(Input::AttemptsWritten { attempts });
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -150,7 +150,7 @@
                 None
             }
         };
-        // The configured seed is also the predecessor's. Both processes live for a while, so their random choices
+        // The configured seed is also the predecessor's. Both processes run at the same time, so their random choices
         // and the ids generated from them must differ.
         let now =
             SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
@@ -181,7 +181,7 @@
             }
             None => None,
         };
-        let poll = Poll::new().map_err(io_error("poll"))?;
+        let poll = Poll::new().map_err(io_error("create the poll"))?;
         let waker = Arc::new(
             Waker::new(poll.registry(), driver::WAKER).map_err(io_error("create the waker of the poll"))?,
         );
--- a/src/net/operator.rs
+++ b/src/net/operator.rs
@@ -158,8 +158,8 @@
             }
         }
         // A client that shut down its sending side after a request still reads the reply.
-        let gone = ended && (connection.replied || !connection.request_received);
-        if gone {
+        let finished = ended && (connection.replied || !connection.request_received);
+        if finished {
             self.connections.remove(&request_id);
         } else {
             self.write(request_id);
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -133,16 +133,16 @@
 fn a_reset_or_corrupt_exchange_connection_cuts_no_established_call_of_either_front() {
     let (switch, mut lines) = two_exchanges();
     let mut caller = JsonLinesConn::connect(switch.address);
-    let mut phone = Iax2Endpoint::new(20);
+    let mut iax2_caller = Iax2Endpoint::new(20);
     caller.send(&launch_line(CALL, 1, 3_000));
     lines[0].expect("launch", CALL);
     lines[0].send(&running(CALL));
     caller.expect("running", CALL);
-    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
+    iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
     let iax2_call = lines[0].receive().expect("a set-up").text("uid");
     lines[0].send(&running(&iax2_call));
-    phone.expect(FrameType::Iax, iax::ACCEPT);
-    phone.expect(FrameType::Control, control::ANSWER);
+    iax2_caller.expect(FrameType::Iax, iax::ACCEPT);
+    iax2_caller.expect(FrameType::Control, control::ANSWER);
     // An answer with invalid text, but a readable call id: the connection is dropped all the same, the call is
     // released at the exchange and set up again.
     caller.send(&launch_line("00000000000000cc", 1, 3_000));
@@ -164,16 +164,16 @@
     lines[0].send(&stop(&iax2_call, 16, ""));
     assert_ne!(caller.expect("stop", "00000000000000dd").cause(), 16.0);
     assert_eq!(caller.expect("stop", CALL).cause(), 16.0);
-    assert_eq!(phone.expect(FrameType::Iax, iax::HANGUP).cause_code, Some(16));
+    assert_eq!(iax2_caller.expect(FrameType::Iax, iax::HANGUP).cause_code, Some(16));
 }
 
 #[test]
 fn a_reload_of_the_configuration_loses_no_call_of_either_front() {
     let (switch, mut lines) = two_exchanges();
     let mut caller = JsonLinesConn::connect(switch.address);
-    let mut phone = Iax2Endpoint::new(20);
+    let mut iax2_caller = Iax2Endpoint::new(20);
     caller.send(&launch_line(CALL, 1, 3_000));
-    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
+    iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
     let uids: Vec<String> = (0..2).map(|_| lines[0].receive().expect("a set-up").text("uid")).collect();
     let config = Box::new(engine_harness::config(3));
     switch
@@ -185,11 +185,11 @@
         lines[0].send(&running(uid));
     }
     caller.expect("running", CALL);
-    phone.expect(FrameType::Iax, iax::ACCEPT);
-    phone.expect(FrameType::Control, control::ANSWER);
+    iax2_caller.expect(FrameType::Iax, iax::ACCEPT);
+    iax2_caller.expect(FrameType::Control, control::ANSWER);
     caller.send(&stop(CALL, 16, ""));
     lines[0].expect("stop", CALL);
-    phone.hang_up(16);
+    iax2_caller.hang_up(16);
     assert!(uids.contains(&lines[0].receive().expect("a release").text("uid")));
 }
 
@@ -204,12 +204,12 @@
         called_number: Some("9".to_owned()),
         ..InformationElements::default()
     };
-    let mut phone = Iax2Endpoint::new(20);
-    phone.peer = Some(iax2_address);
+    let mut iax2_caller = Iax2Endpoint::new(20);
+    iax2_caller.peer = Some(iax2_address);
     for source_call in 1..400_u16 {
         // Every 20 rounds, wait until everything is read: datagrams that the system drops would test nothing.
         if source_call.is_multiple_of(20) {
-            phone.frames_before_pong();
+            iax2_caller.frames_before_pong();
         }
         let (dest_call, retransmitted, timestamp, oseqno, iseqno) = (0, false, 1, 0, 0);
         let (frame_type, subclass, payload) = (FrameType::Iax, iax::NEW, elements.encode());
@@ -229,19 +229,19 @@
         flood.send_to(&new[..usize::from(source_call) % new.len()], iax2_address).expect("send a message");
         flood.send_to(&[0xff; 40][..usize::from(source_call) % 40], iax2_address).expect("send a message");
     }
-    phone.frames_before_pong();
-    phone.call(iax2_address, "17");
+    iax2_caller.frames_before_pong();
+    iax2_caller.call(iax2_address, "17");
     let call = lines[0].receive().expect("a set-up").text("uid");
     lines[0].send(&running(&call));
-    phone.expect(FrameType::Iax, iax::ACCEPT);
-    phone.expect(FrameType::Control, control::ANSWER);
+    iax2_caller.expect(FrameType::Iax, iax::ACCEPT);
+    iax2_caller.expect(FrameType::Control, control::ANSWER);
 }
 
 #[test]
 fn a_drain_retransmits_an_iax2_rejection_that_was_not_acknowledged() {
     let (mut switch, mut lines) = two_exchanges();
-    let mut phone = Iax2Endpoint::new(20);
-    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
+    let mut iax2_caller = Iax2Endpoint::new(20);
+    iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
     let call = lines[0].receive().expect("a set-up").text("uid");
     switch
         .loop_sender
@@ -251,7 +251,7 @@
     lines[0].send(&stop(&call, 17, r#""note":"user_busy""#));
     let mut rejections = 0;
     while rejections < 2 {
-        if let swiftlb::iax2::frame::Frame::Full(frame) = phone.receive_unacked()
+        if let swiftlb::iax2::frame::Frame::Full(frame) = iax2_caller.receive_unacked()
             && frame.is_iax(iax::REJECT)
         {
             assert_eq!(frame.retransmitted, rejections == 1);
@@ -289,12 +289,12 @@
 #[test]
 fn the_release_pause_is_kept_for_an_iax2_caller() {
     let (switch, mut lines) = two_exchanges();
-    let mut phone = Iax2Endpoint::new(20);
-    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
+    let mut iax2_caller = Iax2Endpoint::new(20);
+    iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
     reset_then_answer(&mut lines);
-    phone.expect(FrameType::Iax, iax::ACCEPT);
-    phone.expect(FrameType::Control, control::ANSWER);
-    assert!(phone.frames_before_pong().iter().all(|frame| !frame.is_sequenced()));
+    iax2_caller.expect(FrameType::Iax, iax::ACCEPT);
+    iax2_caller.expect(FrameType::Control, control::ANSWER);
+    assert!(iax2_caller.frames_before_pong().iter().all(|frame| !frame.is_sequenced()));
     lines[1].assert_exchange_quiet();
 }
 
@@ -302,8 +302,8 @@
 fn an_iax2_call_is_routed_to_a_json_lines_exchange() {
     let (switch, lines) = two_exchanges();
     let (mut exchange_1, _exchange_2) = in_order(lines, 0);
-    let mut phone = Iax2Endpoint::new(20);
-    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "1700");
+    let mut iax2_caller = Iax2Endpoint::new(20);
+    iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "1700");
     let setup = exchange_1.receive().expect("a set-up");
     let call = setup.text("uid");
     // IAX2 does not carry the time that the caller waits: the deadline of the class applies.
@@ -311,12 +311,12 @@
     assert!((1_200..=2_000).contains(&remaining), "{remaining}");
     assert_eq!((setup.text("meta.class").as_str(), setup.text("meta.key").as_str()), ("lookup", "1700"));
     exchange_1.send(&running(&call));
-    phone.expect(FrameType::Iax, iax::ACCEPT);
-    phone.expect(FrameType::Control, control::ANSWER);
+    iax2_caller.expect(FrameType::Iax, iax::ACCEPT);
+    iax2_caller.expect(FrameType::Control, control::ANSWER);
     exchange_1.send(&stop(&call, 41, ""));
-    assert_eq!(phone.expect(FrameType::Iax, iax::HANGUP).cause_code, Some(41));
+    assert_eq!(iax2_caller.expect(FrameType::Iax, iax::HANGUP).cause_code, Some(41));
     assert!(
-        phone.frames_before_pong().iter().all(|frame| !frame.is_sequenced()),
+        iax2_caller.frames_before_pong().iter().all(|frame| !frame.is_sequenced()),
         "more than one final outcome"
     );
 }
@@ -330,13 +330,13 @@
     let call = exchange_1.receive().expect("a set-up").text("uid");
     exchange_1.send(&stop(&call, 17, r#""note":"user_busy""#));
     assert_eq!(busy.expect(FrameType::Iax, iax::REJECT).cause_code, Some(17));
-    let mut phone = Iax2Endpoint::new(20);
-    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "1");
+    let mut iax2_caller = Iax2Endpoint::new(20);
+    iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "1");
     let call = exchange_1.receive().expect("a set-up").text("uid");
     exchange_1.send(&stop(&call, 34, r#""note":"group_full""#));
     exchange_2.expect("launch", &call);
     exchange_2.send(&stop(&call, 34, r#""note":"group_full""#));
-    let rejection = phone.expect(FrameType::Iax, iax::REJECT);
+    let rejection = iax2_caller.expect(FrameType::Iax, iax::REJECT);
     assert_eq!((rejection.cause_code, rejection.cause.as_deref()), (Some(34), Some("retry after 300 ms")));
     let mut lost = Iax2Endpoint::new(22);
     lost.call(switch.iax2_address.expect("address of the IAX2 front"), "900");
@@ -409,45 +409,49 @@
 #[test]
 fn a_call_between_iax2_peers_relays_media_both_ways() {
     let (switch, mut iax2_exchange, _lines) = iax2_and_json_lines_exchanges();
-    let mut phone = Iax2Endpoint::new(20);
-    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "1");
+    let mut iax2_caller = Iax2Endpoint::new(20);
+    iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "1");
     assert_eq!(iax2_exchange.expect(FrameType::Iax, iax::NEW).format, Some(4));
     iax2_exchange.answer();
-    assert_eq!(phone.expect(FrameType::Iax, iax::ACCEPT).format, Some(4));
-    phone.expect(FrameType::Control, control::ANSWER);
-    phone.send(FrameType::Voice, 4, vec![1; 160]);
+    assert_eq!(iax2_caller.expect(FrameType::Iax, iax::ACCEPT).format, Some(4));
+    iax2_caller.expect(FrameType::Control, control::ANSWER);
+    iax2_caller.send(FrameType::Voice, 4, vec![1; 160]);
     let voice = iax2_exchange.receive();
     assert_eq!((voice.frame_type, voice.subclass, voice.payload), (FrameType::Voice, 4, vec![1; 160]));
-    let mini_timestamp = phone.oseqno as u16 * 20;
-    let mini = MiniFrame { source_call: phone.local_call, timestamp: mini_timestamp, payload: vec![2; 160] };
-    phone.socket.send_to(&mini.encode(), phone.peer.expect("address of the peer")).expect("send a message");
+    let mini_timestamp = iax2_caller.oseqno as u16 * 20;
+    let mini =
+        MiniFrame { source_call: iax2_caller.local_call, timestamp: mini_timestamp, payload: vec![2; 160] };
+    iax2_caller
+        .socket
+        .send_to(&mini.encode(), iax2_caller.peer.expect("address of the peer"))
+        .expect("send a message");
     assert_eq!(iax2_exchange.receive_mini().payload, vec![2; 160]);
     iax2_exchange.send(FrameType::Voice, 4, vec![3; 160]);
-    assert_eq!(phone.receive().payload, vec![3; 160]);
-    phone.send(FrameType::Dtmf, u32::from(b'5'), vec![]);
+    assert_eq!(iax2_caller.receive().payload, vec![3; 160]);
+    iax2_caller.send(FrameType::Dtmf, u32::from(b'5'), vec![]);
     assert_eq!(iax2_exchange.receive().subclass, u32::from(b'5'));
     iax2_exchange.hang_up(16);
-    assert_eq!(phone.expect(FrameType::Iax, iax::HANGUP).cause_code, Some(16));
+    assert_eq!(iax2_caller.expect(FrameType::Iax, iax::HANGUP).cause_code, Some(16));
 }
 
 #[test]
 fn a_caller_hangs_up_while_its_attempt_is_open_at_a_stalled_iax2_exchange() {
     let (switch, mut iax2_exchange, mut exchange_2) = iax2_and_json_lines_exchanges();
-    let mut phone = Iax2Endpoint::new(20);
-    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "1");
+    let mut iax2_caller = Iax2Endpoint::new(20);
+    iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "1");
     // The exchange receives the set-up and does not answer.
     iax2_exchange.expect(FrameType::Iax, iax::NEW);
-    let raw = phone.receive_unacked();
+    let raw = iax2_caller.receive_unacked();
     let acked = matches!(raw, swiftlb::iax2::frame::Frame::Full(FullFrame { subclass: iax::ACK, .. }));
     assert!(acked, "{raw:?}");
-    phone.hang_up(16);
+    iax2_caller.hang_up(16);
     assert_eq!(iax2_exchange.expect(FrameType::Iax, iax::HANGUP).cause_code, Some(16));
-    // The stalled exchange answers the released call later: nobody is told, and no other attempt is made.
+    // The stalled exchange answers the released call later: the caller receives nothing, and no other attempt is made.
     iax2_exchange.answer();
     let mut caller = JsonLinesConn::connect(switch.address);
     caller.assert_quiet();
     exchange_2.assert_exchange_quiet();
-    let frames = phone.frames_before_pong();
+    let frames = iax2_caller.frames_before_pong();
     assert!(frames.iter().all(|frame| !frame.is_sequenced()), "sent after the hang-up: {frames:?}");
 }
 
@@ -455,13 +459,13 @@
 fn a_caller_hangs_up_while_its_attempt_is_open_at_a_stalled_json_lines_exchange() {
     let (switch, lines) = two_exchanges();
     let (mut exchange_1, mut exchange_2) = in_order(lines, 0);
-    let mut phone = Iax2Endpoint::new(20);
-    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
+    let mut iax2_caller = Iax2Endpoint::new(20);
+    iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
     let call = exchange_1.receive().expect("a set-up").text("uid");
-    phone.hang_up(16);
+    iax2_caller.hang_up(16);
     assert_eq!(exchange_1.expect("stop", &call).cause(), 16.0);
     exchange_1.send(&running(&call));
-    let frames = phone.frames_before_pong();
+    let frames = iax2_caller.frames_before_pong();
     assert!(frames.iter().all(|frame| !frame.is_sequenced()), "sent after the hang-up: {frames:?}");
     exchange_2.assert_exchange_quiet();
 }
@@ -469,8 +473,8 @@
 #[test]
 fn the_release_pause_is_kept_after_an_iax2_exchange_has_reset_a_set_up() {
     let (switch, mut iax2_exchange, mut exchange_2) = iax2_and_json_lines_exchanges();
-    let mut phone = Iax2Endpoint::new(20);
-    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "1");
+    let mut iax2_caller = Iax2Endpoint::new(20);
+    iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "1");
     iax2_exchange.expect(FrameType::Iax, iax::NEW);
     let (_, elapsed) = timed(|| {
         iax2_exchange.send(FrameType::Iax, iax::HANGUP, InformationElements::with_cause(41, "").encode());
@@ -481,10 +485,10 @@
     assert!(elapsed >= RELEASE_PAUSE, "{elapsed:?}");
     iax2_exchange.answer();
     exchange_2.assert_exchange_quiet();
-    phone.expect(FrameType::Iax, iax::ACCEPT);
-    phone.expect(FrameType::Control, control::ANSWER);
+    iax2_caller.expect(FrameType::Iax, iax::ACCEPT);
+    iax2_caller.expect(FrameType::Control, control::ANSWER);
     assert!(
-        phone.frames_before_pong().iter().all(|frame| !frame.is_sequenced()),
+        iax2_caller.frames_before_pong().iter().all(|frame| !frame.is_sequenced()),
         "more than one final outcome"
     );
 }
@@ -492,11 +496,11 @@
 #[test]
 fn a_call_at_a_stalled_iax2_exchange_is_rejected_once_at_the_deadline_of_its_class() {
     let (switch, mut iax2_exchange, _exchange_2) = iax2_and_json_lines_exchanges();
-    let mut phone = Iax2Endpoint::new(20);
+    let mut iax2_caller = Iax2Endpoint::new(20);
     let (rejection, elapsed) = timed(|| {
-        phone.call(switch.iax2_address.expect("address of the IAX2 front"), "1");
+        iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "1");
         iax2_exchange.expect(FrameType::Iax, iax::NEW);
-        phone.expect(FrameType::Iax, iax::REJECT)
+        iax2_caller.expect(FrameType::Iax, iax::REJECT)
     });
     assert_eq!(rejection.cause_code, Some(41));
     // The deadline of this class is 2 s. A busy machine may be late here; tests in virtual time check the exact time.
@@ -507,26 +511,26 @@
 #[test]
 fn lost_and_duplicate_datagrams_result_in_one_call_and_one_outcome() {
     let (switch, mut iax2_exchange, mut exchange_2) = iax2_and_json_lines_exchanges();
-    let mut phone = Iax2Endpoint::new(20);
+    let mut iax2_caller = Iax2Endpoint::new(20);
     // The softswitch receives the first set-up three times.
-    let new = phone.call(switch.iax2_address.expect("address of the IAX2 front"), "2");
-    phone.send_frame(&FullFrame { retransmitted: true, ..new.clone() });
-    phone.send_frame(&new);
+    let new = iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "2");
+    iax2_caller.send_frame(&FullFrame { retransmitted: true, ..new.clone() });
+    iax2_caller.send_frame(&new);
     let call = exchange_2.receive().expect("a set-up").text("uid");
     exchange_2.send(&stop(&call, 17, r#""note":"user_busy""#));
     // The first rejection is not acknowledged, so it is retransmitted.
     let rejection = loop {
-        if let swiftlb::iax2::frame::Frame::Full(frame) = phone.receive_unacked()
+        if let swiftlb::iax2::frame::Frame::Full(frame) = iax2_caller.receive_unacked()
             && frame.is_iax(iax::REJECT)
         {
             break frame;
         }
     };
     assert!(!rejection.retransmitted);
-    assert_eq!(phone.expect(FrameType::Iax, iax::REJECT).cause_code, Some(17));
+    assert_eq!(iax2_caller.expect(FrameType::Iax, iax::REJECT).cause_code, Some(17));
     // A delayed duplicate of the set-up does not start a new call.
-    phone.send_frame(&new);
-    assert!(phone.frames_before_pong().iter().all(|frame| !frame.is_sequenced()));
+    iax2_caller.send_frame(&new);
+    assert!(iax2_caller.frames_before_pong().iter().all(|frame| !frame.is_sequenced()));
     exchange_2.assert_exchange_quiet();
     // Toward an IAX2 exchange: the set-up is lost once and retransmitted; a duplicate answer counts once.
     let mut caller = JsonLinesConn::connect(switch.address);
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -96,12 +96,12 @@
     // A call to an unknown destination is refused; one to a busy number fails.
     caller.send(&launch_line("00000000000000aa", 9, 1_500));
     caller.expect("stop", "00000000000000aa");
-    let mut phone = Iax2Endpoint::new(20);
-    phone.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
+    let mut iax2_caller = Iax2Endpoint::new(20);
+    iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
     let iax2_call = exchange.receive().expect("a set-up").text("uid");
     exchange
         .send(&format!(r#"{{"kind":"stop","uid":"{iax2_call}","meta":{{"note":"user_busy"}},"reason":17}}"#));
-    phone.expect(FrameType::Iax, iax::REJECT);
+    iax2_caller.expect(FrameType::Iax, iax::REJECT);
     for (name, value) in [
         (counter("status", "completed"), "1"),
         (counter("status", "rejected"), "1"),
--- a/tests/replacement.rs
+++ b/tests/replacement.rs
@@ -388,19 +388,19 @@
     let iax2 = std::fs::read_to_string(folder.0.join("iax2.json")).expect("access the file");
     let iax2_address =
         Iax2Config::parse(&iax2).expect("valid configuration").expect("address of the IAX2 front").listen;
-    let mut phone = Iax2Endpoint::new(20);
-    let new_call = phone.call(iax2_address, "17");
-    phone.socket.set_read_timeout(Some(Duration::from_millis(50))).expect("set the read time-out");
+    let mut iax2_caller = Iax2Endpoint::new(20);
+    let new_call = iax2_caller.call(iax2_address, "17");
+    iax2_caller.socket.set_read_timeout(Some(Duration::from_millis(50))).expect("set the read time-out");
     let mut attempts = 0;
-    while phone.socket.peek(&mut [0]).is_err() {
+    while iax2_caller.socket.peek(&mut [0]).is_err() {
         attempts += 1;
         assert!(attempts < 160, "the successor must bind the IAX2 address");
-        phone.send_frame(&new_call);
+        iax2_caller.send_frame(&new_call);
     }
-    phone.socket.set_read_timeout(Some(Duration::from_secs(8))).expect("set the read time-out");
+    iax2_caller.socket.set_read_timeout(Some(Duration::from_secs(8))).expect("set the read time-out");
     let iax2_call = exchange_at_new.receive().expect("a set-up").text("uid");
     exchange_at_new.send(&format!(r#"{{"kind":"running","uid":"{iax2_call}","meta":{{}},"body":""}}"#));
-    phone.expect(FrameType::Iax, iax::ACCEPT);
+    iax2_caller.expect(FrameType::Iax, iax::ACCEPT);
     set_up(&mut caller, &mut exchange_at_new, "00000000000000b2");
     assert_eq!(operator_request(new.operator_address, "GET /ops/readiness").0, 200);
     // The next successor connects to this process, which continues to serve when that successor dies.
