--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -40,10 +40,10 @@
 /// Time between two checks of the connections for expired timeouts.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Time before the next accept when the operating system has no resources for another connection.
-const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Time for which a closed connection is kept to see whether the remote end answers unread data with a reset: a
 /// round trip on a poor link, and well within the second in which a release has to be sent.
-const CLOSED_CONN_KEEP: Duration = Duration::from_millis(300);
+const CLOSED_CONN_KEEP_TIME: Duration = Duration::from_millis(300);
 /// Time for writing the messages still queued on a connection that is being closed.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time for writing the remaining records before the process exits.
@@ -334,7 +334,7 @@
                 Err(error) => {
                     // Most likely out of file descriptors: other connections have to close first.
                     tracing::warn!(%error, "cannot accept a connection from a caller; retrying shortly");
-                    self.accept_retry_at = Some(SystemTime::now() + ACCEPT_RETRY);
+                    self.accept_retry_at = Some(SystemTime::now() + ACCEPT_RETRY_DELAY);
                     return;
                 }
             }
@@ -380,7 +380,7 @@
                     self.caller_conns.remove(&caller_conn);
                 } else if let Some(connection) = self.caller_conns.remove(&caller_conn) {
                     let unread = self.closed_connections.push(
-                        SystemTime::now() + CLOSED_CONN_KEEP,
+                        SystemTime::now() + CLOSED_CONN_KEEP_TIME,
                         caller_conn,
                         connection,
                     );
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -41,7 +41,7 @@
 /// Maximum number of events per poll.
 const MAX_POLL_EVENTS: usize = 256;
 /// Time between attempts to bind the IAX2 address while another process still holds it.
-const BIND_RETRY: Duration = Duration::from_millis(100);
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Time for writing the last messages before the process exits.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(50);
 
@@ -320,7 +320,7 @@
                     Ok(socket) => {
                         driver.start_iax2(open_iax2_front(iax2, socket, config.seed, &loop_sender)?)
                     }
-                    Err(_) => unbound_iax2 = Some((iax2, at + BIND_RETRY)),
+                    Err(_) => unbound_iax2 = Some((iax2, at + BIND_RETRY_DELAY)),
                 }
             }
             let bind_retry_at = unbound_iax2.as_ref().map(|(_, at)| *at);
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -49,7 +49,7 @@
     );
     let log = std::env::temp_dir().join(format!("swiftlb-cli-{}.log", std::process::id()));
     let line = "h - - [01/Jul/2026:10:00:01 +0000] \"GET /parts/3 HTTP/1.1\" 200 5\n";
-    std::fs::write(&log, line).expect("access the file");
+    std::fs::write(&log, line).expect("write the file");
     let path = log.to_str().expect("UTF-8 path");
     assert!(
         status_and_stdout(&swiftlb(&["load", path]))
@@ -87,7 +87,7 @@
         let resolver_address = resolver.local_addr().expect("local address").to_string();
         engine_harness::config_json("127.0.0.1:0", &resolver_address, &["127.0.0.1:9".to_owned()])
     });
-    std::fs::write(&file, &text[0]).expect("access the file");
+    std::fs::write(&file, &text[0]).expect("write the file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_swiftlb"));
     command.env("NODE_CONFIG", &file).stderr(Stdio::piped());
     let mut child = KillOnDrop(command.spawn().expect("start the program"));
@@ -110,7 +110,7 @@
         |name: &str| assert!(Command::new("kill").args([name, &id]).status().expect("run kill").success());
     // The program queries the first resolver, and the second one after a reload; an invalid file changes nothing.
     resolvers[0].recv(&mut [0; 512]).expect("receive a query");
-    std::fs::write(&file, "{").expect("access the file");
+    std::fs::write(&file, "{").expect("write the file");
     signal("-HUP");
     let mut log_lines = log.by_ref().map(|line| line.expect("UTF-8 text"));
     assert!(
@@ -118,7 +118,7 @@
         "the refused configuration must be logged"
     );
     check_health();
-    std::fs::write(&file, &text[1]).expect("access the file");
+    std::fs::write(&file, &text[1]).expect("write the file");
     signal("-HUP");
     resolvers[1].recv(&mut [0; 512]).expect("receive a query");
     check_health();
@@ -131,7 +131,7 @@
 fn an_unread_log_does_not_block_calls() {
     let file = std::env::temp_dir().join(format!("swiftlb-log-{}.json", std::process::id()));
     std::fs::write(&file, engine_harness::config_json("127.0.0.1:0", "127.0.0.1:9", &[]))
-        .expect("access the file");
+        .expect("write the file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_swiftlb"));
     command.args(["serve", "--log-format", "json"]).env("NODE_CONFIG", &file).stderr(Stdio::piped());
     let mut child = KillOnDrop(command.spawn().expect("start the program"));
@@ -147,7 +147,7 @@
     let address = field("address");
     let id = child.0.id().to_string();
     // Each reload of an invalid configuration logs one line; these lines fill the pipe, which the test does not read.
-    std::fs::write(&file, "{").expect("access the file");
+    std::fs::write(&file, "{").expect("write the file");
     for _ in 0..2_000 {
         assert!(Command::new("kill").args(["-HUP", &id]).status().expect("run kill").success());
     }
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -28,20 +28,20 @@
 fn two_exchanges() -> (Softswitch, [JsonLinesConn; 2]) {
     let exchanges = [ListeningExchange::new(), ListeningExchange::new()];
     let switch = Softswitch::start(&exchanges.each_ref().map(ListeningExchange::address), &[]);
-    let lines = exchanges.map(|exchange| exchange.accept());
-    (switch, lines)
+    let exchanges = exchanges.map(|exchange| exchange.accept());
+    (switch, exchanges)
 }
 
 /// Orders the exchanges: first the one, by index, that receives the next set-up.
-fn in_order(lines: [JsonLinesConn; 2], first: usize) -> (JsonLinesConn, JsonLinesConn) {
-    let [exchange_1, exchange_2] = lines;
+fn in_order(exchanges: [JsonLinesConn; 2], first: usize) -> (JsonLinesConn, JsonLinesConn) {
+    let [exchange_1, exchange_2] = exchanges;
     if first == 0 { (exchange_1, exchange_2) } else { (exchange_2, exchange_1) }
 }
 
 #[test]
 fn a_json_lines_call_keeps_its_fields_on_the_way_to_a_json_lines_exchange() {
-    let (switch, lines) = two_exchanges();
-    let (mut exchange_1, _exchange_2) = in_order(lines, 0);
+    let (switch, exchanges) = two_exchanges();
+    let (mut exchange_1, _exchange_2) = in_order(exchanges, 0);
     let mut caller = JsonLinesConn::connect(switch.address);
     caller.send(r#"{"kind":"check","uid":"0000000000000001","meta":{},"reason":0}"#);
     assert_eq!(caller.expect("checked", "0000000000000001").cause(), 1.0);
@@ -63,8 +63,8 @@
 
 #[test]
 fn malformed_lines_are_answered_if_they_contain_a_call_id_and_never_crash_the_softswitch() {
-    let (switch, lines) = two_exchanges();
-    let (mut exchange_1, _exchange_2) = in_order(lines, 0);
+    let (switch, exchanges) = two_exchanges();
+    let (mut exchange_1, _exchange_2) = in_order(exchanges, 0);
     let mut caller = JsonLinesConn::connect(switch.address);
     caller.send(&format!(r#"{{"kind":"launch","uid":"{CALL}","meta":{{"class":"status"}}}}"#));
     assert_eq!(caller.expect("stop", CALL).cause(), 41.0);
@@ -89,8 +89,8 @@
 
 #[test]
 fn a_drain_answers_all_open_calls_before_the_exit() {
-    let (mut switch, lines) = two_exchanges();
-    let (mut exchange_1, _exchange_2) = in_order(lines, 0);
+    let (mut switch, exchanges) = two_exchanges();
+    let (mut exchange_1, _exchange_2) = in_order(exchanges, 0);
     let mut caller = JsonLinesConn::connect(switch.address);
     caller.send(&launch_line(CALL, 1, 3_000));
     exchange_1.expect("launch", CALL);
@@ -115,8 +115,8 @@
 
 #[test]
 fn the_death_of_an_exchange_cuts_its_established_calls_and_resets_its_open_attempts() {
-    let (switch, lines) = two_exchanges();
-    let (mut exchange_1, _exchange_2) = in_order(lines, 0);
+    let (switch, exchanges) = two_exchanges();
+    let (mut exchange_1, _exchange_2) = in_order(exchanges, 0);
     let mut caller = JsonLinesConn::connect(switch.address);
     caller.send(&launch_line(CALL, 1, 3_000));
     exchange_1.expect("launch", CALL);
@@ -131,37 +131,37 @@
 
 #[test]
 fn a_reset_or_corrupt_exchange_connection_cuts_no_established_call_of_either_front() {
-    let (switch, mut lines) = two_exchanges();
+    let (switch, mut exchanges) = two_exchanges();
     let mut caller = JsonLinesConn::connect(switch.address);
     let mut iax2_caller = Iax2Endpoint::new(20);
     caller.send(&launch_line(CALL, 1, 3_000));
-    lines[0].expect("launch", CALL);
-    lines[0].send(&running(CALL));
+    exchanges[0].expect("launch", CALL);
+    exchanges[0].send(&running(CALL));
     caller.expect("running", CALL);
     iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
-    let iax2_call = lines[0].receive().expect("a set-up").text("uid");
-    lines[0].send(&running(&iax2_call));
+    let iax2_call = exchanges[0].receive().expect("a set-up").text("uid");
+    exchanges[0].send(&running(&iax2_call));
     iax2_caller.expect(FrameType::Iax, iax::ACCEPT);
     iax2_caller.expect(FrameType::Control, control::ANSWER);
     // An answer with invalid text, but a readable call id: the connection is dropped all the same, the call is
     // released at the exchange and set up again.
     caller.send(&launch_line("00000000000000cc", 1, 3_000));
-    lines[0].expect("launch", "00000000000000cc");
-    lines[0]
+    exchanges[0].expect("launch", "00000000000000cc");
+    exchanges[0]
         .send_raw(b"{\"kind\":\"running\",\"uid\":\"00000000000000cc\",\"meta\":{},\"body\":\"\xff\xfe\"}\n");
-    lines[0].accept_next();
-    assert_eq!(lines[0].expect("stop", "00000000000000cc").cause(), 16.0);
-    lines[0].expect("launch", "00000000000000cc");
-    lines[0].send(&running("00000000000000cc"));
+    exchanges[0].accept_next();
+    assert_eq!(exchanges[0].expect("stop", "00000000000000cc").cause(), 16.0);
+    exchanges[0].expect("launch", "00000000000000cc");
+    exchanges[0].send(&running("00000000000000cc"));
     caller.expect("running", "00000000000000cc");
     // The connection breaks while an attempt is open: it is opened again, and the established calls end when the
     // exchange releases them.
     caller.send(&launch_line("00000000000000dd", 1, 400));
     caller.assert_quiet();
-    let listener = lines[0].reset_and_listen();
-    lines[0] = listener.accept();
-    lines[0].send(&stop(CALL, 16, ""));
-    lines[0].send(&stop(&iax2_call, 16, ""));
+    let listener = exchanges[0].reset_and_listen();
+    exchanges[0] = listener.accept();
+    exchanges[0].send(&stop(CALL, 16, ""));
+    exchanges[0].send(&stop(&iax2_call, 16, ""));
     assert_ne!(caller.expect("stop", "00000000000000dd").cause(), 16.0);
     assert_eq!(caller.expect("stop", CALL).cause(), 16.0);
     assert_eq!(iax2_caller.expect(FrameType::Iax, iax::HANGUP).cause_code, Some(16));
@@ -169,12 +169,12 @@
 
 #[test]
 fn a_reload_of_the_configuration_loses_no_call_of_either_front() {
-    let (switch, mut lines) = two_exchanges();
+    let (switch, mut exchanges) = two_exchanges();
     let mut caller = JsonLinesConn::connect(switch.address);
     let mut iax2_caller = Iax2Endpoint::new(20);
     caller.send(&launch_line(CALL, 1, 3_000));
     iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
-    let uids: Vec<String> = (0..2).map(|_| lines[0].receive().expect("a set-up").text("uid")).collect();
+    let uids: Vec<String> = (0..2).map(|_| exchanges[0].receive().expect("a set-up").text("uid")).collect();
     let config = Box::new(engine_harness::config(3));
     switch
         .loop_sender
@@ -182,20 +182,20 @@
         .expect("running event loop");
     caller.assert_quiet();
     for uid in &uids {
-        lines[0].send(&running(uid));
+        exchanges[0].send(&running(uid));
     }
     caller.expect("running", CALL);
     iax2_caller.expect(FrameType::Iax, iax::ACCEPT);
     iax2_caller.expect(FrameType::Control, control::ANSWER);
     caller.send(&stop(CALL, 16, ""));
-    lines[0].expect("stop", CALL);
+    exchanges[0].expect("stop", CALL);
     iax2_caller.hang_up(16);
-    assert!(uids.contains(&lines[0].receive().expect("a release").text("uid")));
+    assert!(uids.contains(&exchanges[0].receive().expect("a release").text("uid")));
 }
 
 #[test]
 fn a_flood_of_iax2_frames_without_acknowledgements_does_not_block_other_callers() {
-    let (switch, mut lines) = two_exchanges();
+    let (switch, mut exchanges) = two_exchanges();
     let iax2_address = switch.iax2_address.expect("address of the IAX2 front");
     // Truncated and random frames, and set-ups of an unknown number, from a peer that acknowledges nothing.
     let flood = std::net::UdpSocket::bind("127.0.0.1:0").expect("bind a loopback port");
@@ -231,24 +231,24 @@
     }
     iax2_caller.frames_before_pong();
     iax2_caller.call(iax2_address, "17");
-    let call = lines[0].receive().expect("a set-up").text("uid");
-    lines[0].send(&running(&call));
+    let call = exchanges[0].receive().expect("a set-up").text("uid");
+    exchanges[0].send(&running(&call));
     iax2_caller.expect(FrameType::Iax, iax::ACCEPT);
     iax2_caller.expect(FrameType::Control, control::ANSWER);
 }
 
 #[test]
 fn a_drain_retransmits_an_iax2_rejection_that_was_not_acknowledged() {
-    let (mut switch, mut lines) = two_exchanges();
+    let (mut switch, mut exchanges) = two_exchanges();
     let mut iax2_caller = Iax2Endpoint::new(20);
     iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
-    let call = lines[0].receive().expect("a set-up").text("uid");
+    let call = exchanges[0].receive().expect("a set-up").text("uid");
     switch
         .loop_sender
         .send(swiftlb::net::LoopMessage::Input(swiftlb::engine::Input::Drain))
         .expect("running event loop");
     std::thread::sleep(Duration::from_millis(800));
-    lines[0].send(&stop(&call, 17, r#""note":"user_busy""#));
+    exchanges[0].send(&stop(&call, 17, r#""note":"user_busy""#));
     let mut rejections = 0;
     while rejections < 2 {
         if let swiftlb::iax2::frame::Frame::Full(frame) = iax2_caller.receive_unacked()
@@ -263,45 +263,45 @@
 
 /// Script of an exchange for a caller of either front: it resets the first attempt and answers the second one. A reset
 /// does not count against the exchange, so the second attempt takes the same route.
-fn reset_then_answer(lines: &mut [JsonLinesConn; 2]) -> String {
-    let call = lines[0].receive().expect("a set-up").text("uid");
+fn reset_then_answer(exchanges: &mut [JsonLinesConn; 2]) -> String {
+    let call = exchanges[0].receive().expect("a set-up").text("uid");
     let (_, elapsed) = timed(|| {
-        lines[0].send(&stop(&call, 41, ""));
-        lines[0].expect("launch", &call)
+        exchanges[0].send(&stop(&call, 41, ""));
+        exchanges[0].expect("launch", &call)
     });
     assert!(elapsed >= RELEASE_PAUSE, "{elapsed:?}");
-    lines[0].send(&running(&call));
+    exchanges[0].send(&running(&call));
     call
 }
 
 #[test]
 fn the_release_pause_is_kept_for_a_caller_on_json_lines() {
-    let (switch, mut lines) = two_exchanges();
+    let (switch, mut exchanges) = two_exchanges();
     let mut caller = JsonLinesConn::connect(switch.address);
     caller.send(&launch_line(CALL, 1, 2_500));
-    assert_eq!(reset_then_answer(&mut lines), CALL);
+    assert_eq!(reset_then_answer(&mut exchanges), CALL);
     caller.expect("running", CALL);
     // One attempt at a time, and one outcome: no further message to the caller or the other exchange.
     caller.assert_quiet();
-    lines[1].assert_exchange_quiet();
+    exchanges[1].assert_exchange_quiet();
 }
 
 #[test]
 fn the_release_pause_is_kept_for_an_iax2_caller() {
-    let (switch, mut lines) = two_exchanges();
+    let (switch, mut exchanges) = two_exchanges();
     let mut iax2_caller = Iax2Endpoint::new(20);
     iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
-    reset_then_answer(&mut lines);
+    reset_then_answer(&mut exchanges);
     iax2_caller.expect(FrameType::Iax, iax::ACCEPT);
     iax2_caller.expect(FrameType::Control, control::ANSWER);
     assert!(iax2_caller.frames_before_pong().iter().all(|frame| !frame.is_sequenced()));
-    lines[1].assert_exchange_quiet();
+    exchanges[1].assert_exchange_quiet();
 }
 
 #[test]
 fn an_iax2_call_is_routed_to_a_json_lines_exchange() {
-    let (switch, lines) = two_exchanges();
-    let (mut exchange_1, _exchange_2) = in_order(lines, 0);
+    let (switch, exchanges) = two_exchanges();
+    let (mut exchange_1, _exchange_2) = in_order(exchanges, 0);
     let mut iax2_caller = Iax2Endpoint::new(20);
     iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "1700");
     let setup = exchange_1.receive().expect("a set-up");
@@ -323,8 +323,8 @@
 
 #[test]
 fn a_refusal_reaches_an_iax2_caller_with_its_cause_and_retry_after() {
-    let (switch, lines) = two_exchanges();
-    let (mut exchange_1, mut exchange_2) = in_order(lines, 0);
+    let (switch, exchanges) = two_exchanges();
+    let (mut exchange_1, mut exchange_2) = in_order(exchanges, 0);
     let mut busy = Iax2Endpoint::new(21);
     busy.call(switch.iax2_address.expect("address of the IAX2 front"), "11");
     let call = exchange_1.receive().expect("a set-up").text("uid");
@@ -347,13 +347,13 @@
 fn iax2_and_json_lines_exchanges() -> (Softswitch, Iax2Endpoint, JsonLinesConn) {
     let (iax2_exchange, exchange) = (Iax2Endpoint::new(700), ListeningExchange::new());
     let switch = Softswitch::start(&[iax2_exchange.address(), exchange.address()], &[1]);
-    let lines = exchange.accept();
-    (switch, iax2_exchange, lines)
+    let exchange_2 = exchange.accept();
+    (switch, iax2_exchange, exchange_2)
 }
 
 #[test]
 fn a_json_lines_call_is_routed_to_an_iax2_exchange() {
-    let (switch, mut iax2_exchange, _lines) = iax2_and_json_lines_exchanges();
+    let (switch, mut iax2_exchange, _exchange_2) = iax2_and_json_lines_exchanges();
     let mut caller = JsonLinesConn::connect(switch.address);
     caller.send(&launch_line(CALL, 1, 2_500));
     let setup = iax2_exchange.expect(FrameType::Iax, iax::NEW);
@@ -408,7 +408,7 @@
 
 #[test]
 fn a_call_between_iax2_peers_relays_media_both_ways() {
-    let (switch, mut iax2_exchange, _lines) = iax2_and_json_lines_exchanges();
+    let (switch, mut iax2_exchange, _exchange_2) = iax2_and_json_lines_exchanges();
     let mut iax2_caller = Iax2Endpoint::new(20);
     iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "1");
     assert_eq!(iax2_exchange.expect(FrameType::Iax, iax::NEW).format, Some(4));
@@ -457,8 +457,8 @@
 
 #[test]
 fn a_caller_hangs_up_while_its_attempt_is_open_at_a_stalled_json_lines_exchange() {
-    let (switch, lines) = two_exchanges();
-    let (mut exchange_1, mut exchange_2) = in_order(lines, 0);
+    let (switch, exchanges) = two_exchanges();
+    let (mut exchange_1, mut exchange_2) = in_order(exchanges, 0);
     let mut iax2_caller = Iax2Endpoint::new(20);
     iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
     let call = exchange_1.receive().expect("a set-up").text("uid");
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -118,7 +118,7 @@
     #![proptest_config(ProptestConfig { rng_seed: prop::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::with_cases(300) })]
 
     #[test]
-    fn a_request_is_parsed_alike_in_any_number_of_pieces_and_garbage_is_not_a_request(
+    fn a_truncated_request_is_incomplete_and_garbage_is_never_another_request(
         cut in 0_usize..60, noise in prop::collection::vec(any::<u8>(), 0..200), at in 0_usize..40,
     ) {
         let complete = b"PUT /ops/drain/start HTTP/1.1\r\nHost: a\r\n\r\n";
--- a/tests/replacement.rs
+++ b/tests/replacement.rs
@@ -345,13 +345,13 @@
     let all = ["127.0.0.1:9".to_owned(), exchange.address().to_string()];
     let text =
         engine_harness::config_json(&address(listener.local_addr()), &address(resolver.local_addr()), &all);
-    std::fs::write(folder.0.join("config.json"), text).expect("access the file");
+    std::fs::write(folder.0.join("config.json"), text).expect("write the file");
     let iax2 = format!(
         r#"{{"enabled":true,"listen":"{}","nodes":[],"contexts":[
         {{"context":"service","class":"lookup","numbers":[{{"prefix":"1","exchange":1}}]}}]}}"#,
         address(UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()))
     );
-    std::fs::write(folder.0.join("iax2.json"), iax2).expect("access the file");
+    std::fs::write(folder.0.join("iax2.json"), iax2).expect("write the file");
     (listener, folder, exchange, resolver)
 }
 
@@ -385,7 +385,7 @@
     assert_eq!(caller.expect("stop", "00000000000000a2").cause(), 16.0);
     assert!(old.child.wait().expect("wait for the process").success(), "the predecessor exits without calls");
     // The successor serves IAX2 as well, once it has bound the address.
-    let iax2 = std::fs::read_to_string(folder.0.join("iax2.json")).expect("access the file");
+    let iax2 = std::fs::read_to_string(folder.0.join("iax2.json")).expect("read the file");
     let iax2_address =
         Iax2Config::parse(&iax2).expect("valid configuration").expect("address of the IAX2 front").listen;
     let mut iax2_caller = Iax2Endpoint::new(20);
@@ -429,7 +429,7 @@
         if round == 2 {
             // A regular file instead of a socket.
             let _ = std::fs::remove_file(&socket_path);
-            std::fs::write(&socket_path, "nonsense").expect("access the file");
+            std::fs::write(&socket_path, "nonsense").expect("write the file");
         }
         let program = Program::start(&listener, &folder.0);
         let mut exchange_conn = match (exchange.take(), lines.take()) {
