--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,7 +1,8 @@
-//! Every decision of swiftlb. The types that come in and go out are in `interface.rs`.
+//! The decision module: admission and route choice for every call, and what it learns for them. Its input and
+//! output types are in `interface.rs`.
 //!
-//! Reads top to bottom: constants, state, events, admission, route choice, the one place that sends, what is
-//! learned of other exchanges, upkeep. Time comes from events alone, randomness from the seed alone.
+//! Order of this file: constants, state, events, calls, route choice, admission, learning, maintenance. Time
+//! comes only from events and randomness only from the seed, so equal inputs give equal outputs.
 
 pub mod learned;
 
@@ -17,283 +18,336 @@
     Outcome, Readiness, Reason, ReportField, Settings,
 };
 
-/// Tandems sampled at random for a call that cannot go direct (the design's d).
-const SAMPLED_TANDEMS: usize = 2;
-/// The same where peers tell their free circuits: each sample is then judged on both legs, and in a large
-/// mesh two of them too often are both short. Unheard, more samples would only crowd onto the emptiest own
-/// groups.
-const SAMPLED_TOLD: usize = 6;
-/// Part of the tandems that are sampled among far legs of which nothing is known: those with the best
-/// record. A half is as good, an eighth crowds onto a few.
-const BEST_PART: f64 = 1.0 / 3.0;
-/// Size of a group that says as much for the exchange beyond as against it, in circuits: exchanges with
-/// large groups have groups to most others, and thin groups leave no room beyond the reserve.
-const FAIR_GROUP: f64 = 10.0;
-/// How much less often an exchange has a group to one in another zone: traffic is thicker inside a zone.
-const FAR_ZONE: f64 = 0.7;
-/// Circuits beyond its width that must be free onward for a call in transit (the design's reserve).
-const TRANSIT_RESERVE: f64 = 2.0;
-/// How long a far leg counts as last reported, in ms (the design's figure).
-const FAR_REPORT_MS: f64 = 10_000.0;
-/// How long a far leg counts as full after a crank-back, in ms (the design's figure).
-const CRANKBACK_MS: f64 = 10_000.0;
-/// How long a far leg counts as not there at all, in ms: a full one may be mistaken for none.
-const ABSENT_MS: f64 = 60_000.0;
-/// Half-life of what is known of a processor's delay while nothing new is heard, in ms.
+/// Maximum number of tandems sampled at random for a call that cannot go direct (d in the design).
+const MAX_SAMPLED_TANDEMS: usize = 2;
+/// The same limit where peers report their free circuits. Each sample is then judged on both legs, and in a
+/// large mesh two samples are too often both short of circuits. Without reports, more samples would only
+/// concentrate the calls on the tandems whose own groups have the most free circuits.
+const MAX_SAMPLED_TANDEMS_WITH_REPORTS: usize = 6;
+/// Fraction of the tandems, those with the best record, that samples are drawn from while nothing is known
+/// about the second legs. One half works as well; one eighth concentrates the calls on a few tandems.
+const BEST_RECORD_FRACTION: f64 = 1.0 / 3.0;
+/// Size of the group to a tandem, in circuits, that counts as much for the tandem as against it. Exchanges
+/// with large groups have groups to most others; small groups leave no circuits beyond the reserve.
+const NEUTRAL_GROUP_CIRCUITS: f64 = 10.0;
+/// Factor on the record of a tandem outside the destination's zone. Traffic is heavier inside a zone, so an
+/// exchange has groups to exchanges of other zones less often.
+const OTHER_ZONE_FACTOR: f64 = 0.7;
+/// Circuits beyond its width that must be free on the onward group for a call in transit (the design's
+/// reserve).
+const TRANSIT_RESERVE_CIRCUITS: f64 = 2.0;
+/// Time for which a peer's report of its free circuits is valid, in ms (given by the design).
+const LEG_REPORT_VALID_MS: f64 = 10_000.0;
+/// Time for which a second leg counts as full after a crank-back, in ms (given by the design).
+const LEG_FULL_MS: f64 = 10_000.0;
+/// Time for which a second leg counts as absent, in ms. The time is limited because a full group can be
+/// mistaken for an absent one.
+const LEG_ABSENT_MS: f64 = 60_000.0;
+/// Half-life of a learned delay while no new set-up time arrives, in ms.
 const DELAY_HALF_LIFE_MS: f64 = 1_000.0;
-/// Weight of a new set-up time in the running delay: a few calls outvote one odd one.
+/// Weight of a new set-up time in the running delay of an exchange: a few calls outweigh one outlier.
 const DELAY_WEIGHT: f64 = 0.4;
-/// Weight of a set-up time in the common delay where it is longer, and where it is shorter.
-const LONGER_WEIGHT: f64 = 0.03;
-const SHORTER_WEIGHT: f64 = 0.1;
-/// A call of the dearest class is shed once its set-up is expected to take this part of its wanted time:
-/// past that it stands too late to earn and only feeds the jam.
-const SHED_AT: f64 = 0.4;
-/// Calls of the cheapest class are shed from this part of the wanted time on.
-const SHED_CHEAP_AT: f64 = 0.15;
-/// Circuits of a group kept free for dearer calls by the cheapest one while the group is short.
-const WORTH_RESERVE: f64 = 1.5;
-/// A group counts as short for this long after it was last seen full, in ms; longer blocks cheap calls.
-const SHORT_MS: f64 = 3_000.0;
-/// A refused caller is asked to dial again after this part of the wanted time: two redials may be in time.
-const REDIAL_AT: f64 = 0.3;
-/// After a call found all lines of a number busy, none goes there for this long, in ms (call gapping).
-const GAP_MS: f64 = 5_000.0;
-/// Set-ups out that say nothing of a backlog: fewer than this go out together by chance.
-const FREE_OUT: usize = 4;
-/// An attempt out for longer says that its far end is stuck, not that the own processor has work, in ms.
-const STUCK_MS: f64 = 1_000.0;
-/// Time between two trial calls to an exchange that has answered nothing for long, in ms, doubled up to four
-/// times: a call that would be turned away costs little as a trial, and nothing else shows that it answers.
-const TRIAL_MS: f64 = 100.0;
-/// An answer counts as lost after three usual set-up times, and after no less and no more ms than these.
-const LOST_MS: (f64, f64) = (350.0, 2_500.0);
-/// Time constant of send rates, in ms: some calls per exchange, well under the time in which traffic shifts.
-const RATE_MS: f64 = 8_000.0;
-/// Time between two messages to the peers, in ms: they are work for processors, and news counts for 10 s.
-const TELL_MS: f64 = 5_000.0;
-/// First byte of a message to the peers; one of another version is passed over.
-const MESSAGE_VERSION: u8 = 2;
-/// Numbers told of in one message, which holds 256 bytes: 7 ahead, then one for each number.
-const MESSAGE_NUMBERS: usize = 249;
-/// Said of a number that no own group leads to, and of one whose group is not known; lower bytes are
-/// circuits.
+/// Weight of a set-up time in the common delay where the set-up time is longer than that delay.
+const COMMON_DELAY_RISE_WEIGHT: f64 = 0.03;
+/// Weight of a set-up time in the common delay where the set-up time is not longer than that delay.
+const COMMON_DELAY_FALL_WEIGHT: f64 = 0.1;
+/// Expected wait at which a call of the class with the highest worth is shed, as a fraction of its target
+/// set-up time. Beyond it, the call would be established too late to earn its worth and would only add to the
+/// overload.
+const MAX_WAIT_FRACTION_TOP_WORTH: f64 = 0.4;
+/// The same limit for a class without worth; the limits of the other classes lie in between.
+const MAX_WAIT_FRACTION_NO_WORTH: f64 = 0.15;
+/// Maximum number of circuits of a short group that a call leaves free for calls of higher worth.
+const MAX_WORTH_RESERVE_CIRCUITS: f64 = 1.5;
+/// Time for which a group counts as short after it was last seen without a free circuit, in ms. A longer time
+/// would block calls of low worth.
+const SHORT_GROUP_MS: f64 = 3_000.0;
+/// Retry-after of a refused call, as a fraction of its target set-up time: two redials can then be in time.
+const RETRY_AFTER_FRACTION: f64 = 0.3;
+/// Time for which no call is sent to a number after a call found all its lines busy, in ms (call gapping).
+const CALL_GAP_MS: f64 = 5_000.0;
+/// Open attempts that do not count as backlog: fewer than this are open at the same time by chance.
+const BACKLOG_FREE_ATTEMPTS: usize = 4;
+/// Age from which an open attempt does not count as backlog, in ms. By then it shows that the remote exchange
+/// is stuck, not that the own processor is loaded.
+const STUCK_ATTEMPT_MS: f64 = 1_000.0;
+/// Shortest time between two trial calls to an exchange that has answered nothing for long, in ms; doubled
+/// after each of the first four trials. A trial costs little, because the call would be refused otherwise,
+/// and nothing else shows that the exchange answers again.
+const MIN_TRIAL_INTERVAL_MS: f64 = 100.0;
+/// Shortest and longest time after which an answer counts as lost, in ms. In between, three times the usual
+/// set-up time applies.
+const LOST_ANSWER_RANGE_MS: (f64, f64) = (350.0, 2_500.0);
+/// Time constant of the send rates, in ms: it covers several calls per exchange and is much shorter than the
+/// time in which traffic shifts.
+const RATE_TIME_CONSTANT_MS: f64 = 8_000.0;
+/// Shortest time between two reports to the peers, in ms. Each report takes processor time at its receivers,
+/// and a report is valid for 10 s.
+const MIN_PEER_REPORT_INTERVAL_MS: f64 = 5_000.0;
+/// First byte of a message to the peers; a message of another version is ignored.
+const PEER_MESSAGE_VERSION: u8 = 2;
+/// Maximum number of exchange numbers in a message to the peers, which holds 256 bytes: a header of 7 bytes,
+/// then one byte for each number.
+const MAX_NUMBERS_PER_PEER_MESSAGE: usize = 249;
+/// Value in a message to the peers for a number that the sender has no group to. Values below
+/// `UNKNOWN_GROUP` are numbers of free circuits.
 const NO_GROUP: u8 = 255;
-const NOT_KNOWN: u8 = 254;
-/// An exchange told off for this long is forgotten, in ms.
-const FORGET_MS: f64 = 60_000.0;
-/// Part of the cold budget that is used; the rest is slack for chance and for clocks that differ.
-const COLD_PART: f64 = 0.8;
-/// Most of a span's budget that may be sent in one burst: no span then holds more than the budget.
-const COLD_BURST: f64 = 0.25;
-/// Shortest time left in which a further attempt may still be answered, in ms: a network round trip.
-const LEAST_LEFT_MS: f64 = 50.0;
-/// Time between requests for the list while a subscription is broken, in ms.
-const ASK_AGAIN_MS: f64 = 1_000.0;
-/// Time between two rounds of upkeep, in ms.
-const UPKEEP_MS: f64 = 1_000.0;
-/// Timer tag of the upkeep round; lower tags are call ids.
-const UPKEEP_TAG: u64 = 1 << 32;
+/// Value in a message to the peers for a number to which the sender does not know its group.
+const UNKNOWN_GROUP: u8 = 254;
+/// Time after which an exchange that is not ready is removed from the state, in ms.
+const NOT_READY_RETENTION_MS: f64 = 60_000.0;
+/// Fraction of the cold budget that is used; the rest allows for chance and for differences between clocks.
+const COLD_BUDGET_FRACTION: f64 = 0.8;
+/// Maximum burst to a cold exchange, as a fraction of the budget for one overload duration. With it, no
+/// period of that duration contains more set-ups than the budget.
+const MAX_COLD_BURST_FRACTION: f64 = 0.25;
+/// Shortest remaining time of a call in which a further attempt can still be answered, in ms: one network
+/// round trip.
+const MIN_REMAINING_MS: f64 = 50.0;
+/// Shortest time between two subscriptions to the list while a subscription is broken, in ms.
+const MIN_SUBSCRIBE_INTERVAL_MS: f64 = 1_000.0;
+/// Time between two runs of the maintenance, in ms.
+const MAINTENANCE_INTERVAL_MS: f64 = 1_000.0;
+/// Timer tag of the maintenance; lower tags are call ids.
+const MAINTENANCE_TAG: u64 = 1 << 32;
 
 /// Settings that no decision can be made with.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("settings make no sense: {0}")]
+#[error("invalid settings: {0}")]
 pub struct SettingsError(&'static str);
 
-/// Where a call stands. A call that ended is no longer held at all.
+/// State of a call until it ends; a call that has ended is not stored.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
-    /// Being decided on, nothing out.
-    Waiting,
-    /// One attempt out, to this exchange.
-    Out { to: ExchangeId },
-    /// Nothing out, but what the last attempt took may not be free before this time.
-    Held { until: f64 },
-    /// Set up; nothing owed until it ends.
-    Standing,
+    /// A decision is due and no attempt is open.
+    Deciding,
+    /// One attempt is open, to this exchange.
+    Attempting { to: ExchangeId },
+    /// No attempt is open, but the circuits of the last one may be in use until this time.
+    Releasing { until: f64 },
+    /// The call is established and needs no action until it ends.
+    Established,
 }
 
 #[derive(Clone, Debug)]
 struct Call {
+    /// Index into `Settings::classes`.
     class: usize,
+    /// Circuits that it takes.
     width: f64,
+    /// Number of the destination exchange, or of the first choice among pools.
     dest: Number,
-    called: u64,
+    /// The number called; 0 for none.
+    called_number: u64,
+    /// When the caller stops waiting, in ms.
     deadline: f64,
-    transit: bool,
+    /// Whether it comes from another exchange and not from an own caller.
+    in_transit: bool,
+    /// Attempts made so far.
     attempts: u32,
-    tried: BTreeSet<ExchangeId>,
+    /// Exchanges that it is not sent to again.
+    excluded: BTreeSet<ExchangeId>,
+    /// Whether an attempt may have been executed at the exchange although it did not succeed.
     may_have_run: bool,
     phase: Phase,
 }
 
-/// What is known of the group between a tandem and a destination.
+/// What is known of the group between a tandem and a destination, the second leg of a route.
 #[derive(Clone, Copy, Debug, Default)]
 struct Leg {
-    /// Free circuits as the peer reported them, and when.
-    told: Option<(f64, f64)>,
+    /// Free circuits that the peer reported, and when the report arrived.
+    reported: Option<(f64, f64)>,
     /// Until when it counts as full after a crank-back.
     full_until: f64,
-    /// Until when it counts as not there: the peer's message said so, or the first call of ours was turned
-    /// back.
+    /// Until when it counts as absent: the peer reported no group, or cranked back the first call sent over
+    /// it.
     absent_until: f64,
-    /// It has carried a call of ours.
-    carried: bool,
+    /// Whether a call of this agent was established over it.
+    has_carried: bool,
 }
 
-/// What is known of one exchange. `told_off` is set from the moment that it was told to drain or be gone.
+/// What is known of one exchange. All times are in ms on the host's clock.
 #[derive(Clone, Debug)]
 struct Exchange {
     number: Number,
     zone: u16,
-    born: f64,
-    told_off: bool,
-    told_off_at: f64,
-    /// Calls that stood over it as a tandem, and calls that it turned back.
+    /// When its processor last started; 0 for long ago.
+    started_ms: f64,
+    /// Whether it is draining or removed from the list.
+    not_ready: bool,
+    /// When its readiness was last set.
+    readiness_at: f64,
+    /// Calls that were established over it as a tandem.
     carried: f64,
-    turned_back: f64,
-    /// Stamp of its last message, and when that came.
-    heard: Option<(u16, f64)>,
-    free: Option<f64>,
-    total: f64,
-    /// When its group was last seen with no circuit free.
+    /// Calls that it cranked back.
+    cranked_back: f64,
+    /// Time stamp of its last message, and when that message arrived.
+    last_message: Option<(u16, f64)>,
+    /// Free circuits of the group to it; `None` until they are reported.
+    free_circuits: Option<f64>,
+    /// Circuits of the group to it.
+    total_circuits: f64,
+    /// When its group was last seen without a free circuit.
     full_at: f64,
+    /// Running set-up time, in ms.
     delay: f64,
+    /// When the delay was last updated.
     delay_at: f64,
-    /// The delay is that of a wait in vain: the next answer replaces it.
-    in_vain: bool,
+    /// Whether the delay comes from an attempt that ended without an answer: the next answer replaces it.
+    delay_unanswered: bool,
     /// When the last attempt was sent there.
-    sent_at: f64,
-    /// Shortest time in which a call of ours stood there: the way itself, which no shedding makes shorter.
-    floor: f64,
-    out: BTreeMap<CallId, f64>,
-    /// When the latest of the attempts that were answered was sent, and when the last answer came.
-    answered: f64,
-    answered_at: f64,
-    /// Trial calls since then.
+    last_sent_at: f64,
+    /// Shortest set-up time of a call to it, in ms; `f64::MAX` until there is one. It is the time of the path
+    /// itself, which no shedding shortens.
+    min_setup_ms: f64,
+    /// Open attempts, with the time at which each was sent.
+    open_attempts: BTreeMap<CallId, f64>,
+    /// When the latest of the answered attempts was sent.
+    answered_sent_at: f64,
+    /// When the last answer came.
+    last_answer_at: f64,
+    /// Trial calls since the last answer.
     trials: u32,
-    /// Own sends a second there before it last started: what is sent while it is cold must not raise its
+    /// Own set-ups per second to it before it last started. Set-ups sent while it is cold must not raise its
     /// budget.
-    usual: f64,
-    /// Set-ups that it may still be sent while cold, and when that was counted.
-    credit: f64,
-    credit_at: f64,
+    usual_rate: f64,
+    /// Set-ups that may still be sent to it while it is cold, as of `cold_credit_at`.
+    cold_credit: f64,
+    /// When the credit was computed.
+    cold_credit_at: f64,
 }
 
 impl Exchange {
-    /// When the oldest attempt that is still out there and tells of a wait was sent; now if none is. One that
-    /// a later attempt's answer has overtaken does not: a processor works in turn, so its own answer is lost.
-    /// Counted as a wait, each lost answer shut its exchange out for seconds.
-    fn oldest_out(&self, now: f64) -> f64 {
-        self.out.values().filter(|at| **at > self.answered).fold(now, |a, b| a.min(*b))
+    /// When the oldest open attempt that shows a wait was sent; `now` if there is none. An attempt that was
+    /// sent before an answered one shows no wait: a processor works in order, so its answer is lost. When
+    /// lost answers counted as a wait, each of them excluded its exchange for seconds.
+    fn oldest_open_attempt_at(&self, now: f64) -> f64 {
+        self.open_attempts.values().filter(|at| **at > self.answered_sent_at).fold(now, |a, b| a.min(*b))
     }
 
-    /// How long an answer may take before it counts as lost.
-    fn patience(&self) -> f64 {
-        (3.0 * self.delay).clamp(LOST_MS.0, LOST_MS.1)
+    /// Time after which a missing answer counts as lost, in ms.
+    fn lost_answer_ms(&self) -> f64 {
+        (3.0 * self.delay).clamp(LOST_ANSWER_RANGE_MS.0, LOST_ANSWER_RANGE_MS.1)
     }
 }
 
-/// The decisions of one call agent.
+/// The decision module of one call agent. It keeps five rules:
+///
+/// 1. Every call gets one final answer, in time, and nothing is sent for it afterwards.
+/// 2. A call has at most one open attempt.
+/// 3. No set-up goes to an exchange that is draining or removed.
+/// 4. All agents together load a cold exchange less than the overload at which it fails.
+/// 5. After a time-out, reset or cancel, a call is sent again only after the release pause.
 #[derive(Clone, Debug)]
 pub struct Controller {
-    set: Settings,
-    /// Processes that make up the softswitch: each has its part of the cold budgets.
-    processes: f64,
+    settings: Settings,
+    /// Processes that this softswitch consists of: each may use its part of the cold budgets.
+    process_count: f64,
     rng: Pcg64Mcg,
+    /// Time of the last event, in ms.
     now: f64,
+    /// Whether the maintenance has been started.
     started: bool,
+    /// Whether a subscription to the list is requested and not known to be broken.
     subscribed: bool,
-    asked_at: f64,
-    told_at: f64,
+    /// When the last subscription was requested.
+    subscribed_at: f64,
+    /// When the peers were last sent a report.
+    peer_report_at: f64,
     calls: BTreeMap<CallId, Call>,
     exchanges: BTreeMap<ExchangeId, Exchange>,
-    /// Own sends a second to each exchange number, a running figure.
-    rates: BTreeMap<Number, (f64, f64)>,
-    /// The exchange with each number that takes work: the last started of those not told off.
-    by_number: BTreeMap<Number, ExchangeId>,
-    /// Far legs, by tandem and destination.
+    /// Own set-ups per second to each exchange number, and when that rate was computed.
+    send_rates: BTreeMap<Number, (f64, f64)>,
+    /// The ready exchange with each number; among several, the one that started last.
+    ready_by_number: BTreeMap<Number, ExchangeId>,
+    /// Second legs, by tandem and destination.
     legs: BTreeMap<(Number, Number), Leg>,
-    /// Until when no call goes to a number that had all its lines busy.
-    gapped: BTreeMap<u64, f64>,
-    /// What set-ups take in common, wherever they go, and when that was last heard.
-    common: f64,
-    common_at: f64,
-    /// Highest worth of a class for each circuit and ms, and for each call.
-    top_value: f64,
-    top_worth: f64,
+    /// Until when no call goes to a number of which all lines were busy.
+    gapped_until: BTreeMap<u64, f64>,
+    /// Running set-up time over all exchanges, in ms: the part that does not depend on the exchange.
+    common_delay: f64,
+    /// When the common delay was last updated.
+    common_delay_at: f64,
+    /// Highest worth of a class per circuit and ms.
+    max_circuit_value: f64,
+    /// Highest worth of a class per call.
+    max_worth: f64,
 }
 
 impl Controller {
-    /// A controller that knows nothing but its settings.
+    /// Creates a controller that has learned nothing.
     ///
     /// # Errors
-    /// If the settings make no sense; the error says which.
+    /// If the settings are invalid; the error says which.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        let (top_value, top_worth) = tops(&settings)?;
+        let (max_circuit_value, max_worth) = checked_max_worths(&settings)?;
         Ok(Self {
-            processes: 1.0,
+            process_count: 1.0,
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: 0.0,
             started: false,
             subscribed: false,
-            asked_at: f64::MIN,
-            told_at: f64::MIN,
+            subscribed_at: f64::MIN,
+            peer_report_at: f64::MIN,
             calls: BTreeMap::new(),
             exchanges: BTreeMap::new(),
-            rates: BTreeMap::new(),
-            by_number: BTreeMap::new(),
+            send_rates: BTreeMap::new(),
+            ready_by_number: BTreeMap::new(),
             legs: BTreeMap::new(),
-            gapped: BTreeMap::new(),
-            common: 0.0,
-            common_at: 0.0,
-            top_value,
-            top_worth,
-            set: settings,
+            gapped_until: BTreeMap::new(),
+            common_delay: 0.0,
+            common_delay_at: 0.0,
+            max_circuit_value,
+            max_worth,
+            settings,
         })
     }
 
-    /// Goes on with other settings; what is known and held lives on. Each class of the old settings has a
-    /// place in the new ones, or none: calls of such a class count as the first one's.
+    /// Continues with other settings; calls and learned values are kept. `new_classes` has, for each class of
+    /// the old settings, its index in the new ones, or `None`: calls of such a class get the first class.
     ///
     /// # Errors
-    /// If the new settings make no sense; the old ones then stay.
-    pub fn reconfigure(&mut self, settings: Settings, places: &[Option<usize>]) -> Result<(), SettingsError> {
-        (self.top_value, self.top_worth) = tops(&settings)?;
+    /// If the new settings are invalid; the old ones then stay in force.
+    pub fn reconfigure(
+        &mut self,
+        settings: Settings,
+        new_classes: &[Option<usize>],
+    ) -> Result<(), SettingsError> {
+        (self.max_circuit_value, self.max_worth) = checked_max_worths(&settings)?;
         for call in self.calls.values_mut() {
-            let place = places.get(call.class).copied().flatten().unwrap_or(0);
-            call.class = place.min(settings.classes.len() - 1);
+            let new_class = new_classes.get(call.class).copied().flatten().unwrap_or(0);
+            call.class = new_class.min(settings.classes.len() - 1);
         }
-        self.set = settings;
+        self.settings = settings;
         Ok(())
     }
 
-    /// So many processes make up this softswitch from now on.
+    /// Sets the number of processes that this softswitch consists of: they share the cold budgets.
     pub fn set_process_count(&mut self, processes: u8) {
-        self.processes = f64::from(processes.max(1));
+        self.process_count = f64::from(processes.max(1));
     }
 
-    /// Takes one event at this time (ms) and adds the actions that answer it.
+    /// Handles one event at the time `now` (in ms) and appends the resulting actions.
     pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if !self.started {
             self.started = true;
-            self.upkeep(actions);
+            self.maintain(actions);
         }
         match event {
-            Event::List { kind, entries } => self.learn_list(kind, &entries),
-            Event::Call(call) => self.take(call, actions),
+            Event::List { kind, entries } => self.apply_list(kind, &entries),
+            Event::Call(call) => self.accept_call(call, actions),
             Event::Answered { call, attempt, exchange, elapsed_ms } => {
-                self.settle(call, exchange, elapsed_ms, true);
-                if let Some(there) = self.exchanges.get_mut(&exchange).filter(|_| elapsed_ms > 0.0) {
-                    there.floor = there.floor.min(elapsed_ms);
+                self.close_attempt(call, exchange, elapsed_ms, true);
+                if let Some(target) = self.exchanges.get_mut(&exchange).filter(|_| elapsed_ms > 0.0) {
+                    target.min_setup_ms = target.min_setup_ms.min(elapsed_ms);
                 }
-                if let Some(held) = self.calls.get_mut(&call).filter(|held| held.attempts == attempt + 1) {
-                    held.phase = Phase::Standing;
-                    if let Some(tandem) = self.exchanges.get_mut(&exchange).filter(|e| e.number != held.dest)
+                if let Some(state) = self.calls.get_mut(&call).filter(|state| state.attempts == attempt + 1) {
+                    state.phase = Phase::Established;
+                    if let Some(tandem) = self.exchanges.get_mut(&exchange).filter(|e| e.number != state.dest)
                     {
                         tandem.carried += 1.0;
-                        self.legs.entry((tandem.number, held.dest)).or_default().carried = true;
+                        self.legs.entry((tandem.number, state.dest)).or_default().has_carried = true;
                     }
                 }
             }
@@ -307,315 +361,346 @@
                 call_closed,
                 report,
             } => {
-                self.learn_report(exchange, report.as_ref());
-                if self.calls.get(&call).is_none_or(|held| held.attempts == attempt + 1) {
-                    self.resolve(call, exchange, outcome, reason, elapsed_ms, call_closed, actions);
+                self.apply_load_report(exchange, report.as_ref());
+                if self.calls.get(&call).is_none_or(|state| state.attempts == attempt + 1) {
+                    self.end_attempt(call, exchange, outcome, reason, elapsed_ms, call_closed, actions);
                 }
             }
-            Event::Abandoned { call } => self.forget(call),
-            Event::TimerExpired { tag: UPKEEP_TAG } => self.upkeep(actions),
-            Event::TimerExpired { tag } => self.release(tag, actions),
-            Event::ProbeResult { exchange, report, .. } => self.learn_report(exchange, report.as_ref()),
-            Event::PeerMessage { bytes, .. } => self.learn_message(&bytes),
+            Event::Abandoned { call } => self.drop_call(call),
+            Event::TimerExpired { tag: MAINTENANCE_TAG } => self.maintain(actions),
+            Event::TimerExpired { tag } => self.end_release_pause(tag, actions),
+            Event::ProbeResult { exchange, report, .. } => self.apply_load_report(exchange, report.as_ref()),
+            Event::PeerMessage { bytes, .. } => self.apply_peer_message(&bytes),
         }
     }
 
-    // ---- calls: one state each, one place that ends them ----
+    // ---- calls: each has one state, and `end_call` gives the only final answer ----
 
-    fn take(&mut self, new: NewCall, actions: &mut Vec<Action>) {
-        let left = if new.remaining_ms.is_finite() { new.remaining_ms.max(0.0) } else { 0.0 };
+    fn accept_call(&mut self, new: NewCall, actions: &mut Vec<Action>) {
+        let remaining = if new.remaining_ms.is_finite() { new.remaining_ms.max(0.0) } else { 0.0 };
         let call = Call {
-            class: new.class.min(self.set.classes.len() - 1),
+            class: new.class.min(self.settings.classes.len() - 1),
             width: if new.width.is_finite() { new.width.max(0.0) } else { f64::MAX },
             dest: new.dest,
-            called: new.called_number,
-            deadline: self.now + left,
-            transit: new.transit_from.is_some(),
+            called_number: new.called_number,
+            deadline: self.now + remaining,
+            in_transit: new.transit_from.is_some(),
             attempts: 0,
-            tried: BTreeSet::new(),
+            excluded: BTreeSet::new(),
             may_have_run: false,
-            phase: Phase::Waiting,
+            phase: Phase::Deciding,
         };
         self.calls.insert(new.call, call);
         self.decide(new.call, actions);
     }
 
-    /// Sends the call on or gives its final answer.
+    /// Sends the call to an exchange, or gives its final answer.
     fn decide(&mut self, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id) else { return };
-        let time_left = call.deadline - self.now;
-        let retry_barred = call.may_have_run && !self.set.classes[call.class].idempotent;
-        if time_left < LEAST_LEFT_MS
-            || self.crowded(call)
-            || call.attempts >= self.set.attempt_limit
+        let remaining = call.deadline - self.now;
+        let retry_barred = call.may_have_run && !self.settings.classes[call.class].idempotent;
+        if remaining < MIN_REMAINING_MS
+            || self.is_gapped(call)
+            || call.attempts >= self.settings.attempt_limit
             || retry_barred
         {
-            return self.end(id, actions);
+            return self.end_call(id, actions);
         }
-        match self.choose(id) {
-            Some(to) => self.send(id, to, actions),
-            None => self.end(id, actions),
+        match self.choose_route(id) {
+            Some(to) => self.send_attempt(id, to, actions),
+            None => self.end_call(id, actions),
         }
     }
 
-    /// The final answer of a call that does not stand. Nothing may be out for it.
-    fn end(&mut self, id: CallId, actions: &mut Vec<Action>) {
+    /// Gives the final answer of a call that is not established. No attempt may be open for it.
+    fn end_call(&mut self, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.remove(&id) else { return };
         if call.may_have_run {
             actions.push(Action::Fail { call: id });
         } else {
-            let target_setup_ms = self.set.classes[call.class].target_setup_ms;
-            let redial_ms = if self.crowded(&call) { f64::MAX } else { REDIAL_AT * target_setup_ms };
-            let retry_after_ms = redial_ms.min(self.set.max_retry_after_ms);
+            let target_setup_ms = self.settings.classes[call.class].target_setup_ms;
+            let redial_ms =
+                if self.is_gapped(&call) { f64::MAX } else { RETRY_AFTER_FRACTION * target_setup_ms };
+            let retry_after_ms = redial_ms.min(self.settings.max_retry_after_ms);
             actions.push(Action::Refuse { call: id, retry_after_ms });
         }
     }
 
-    /// The only place that sends. A call leaves it with exactly one attempt out; the exchange is one that was
-    /// never told off, and its cold budget has been charged.
-    fn send(&mut self, id: CallId, to: ExchangeId, actions: &mut Vec<Action>) {
+    /// The only place that sends set-ups. Afterwards the call has exactly one open attempt, and the cold
+    /// budget of the exchange is charged. The exchange must be ready.
+    fn send_attempt(&mut self, id: CallId, to: ExchangeId, actions: &mut Vec<Action>) {
         let now = self.now;
         let credit = self.exchanges.get(&to).map_or(0.0, |e| self.cold_credit(e));
-        let trial = self.on_trial(to);
+        let trial = self.trial_due(to);
         let Some(call) = self.calls.get_mut(&id) else { return };
         let Some(exchange) = self.exchanges.get_mut(&to) else { return };
-        debug_assert!(call.phase == Phase::Waiting && !exchange.told_off);
-        call.phase = Phase::Out { to };
+        debug_assert!(call.phase == Phase::Deciding && !exchange.not_ready);
+        call.phase = Phase::Attempting { to };
         call.attempts += 1;
-        call.tried.insert(to);
-        exchange.out.insert(id, now);
-        exchange.sent_at = now;
+        call.excluded.insert(to);
+        exchange.open_attempts.insert(id, now);
+        exchange.last_sent_at = now;
         exchange.trials += u32::from(trial);
-        (exchange.credit, exchange.credit_at) = (credit - 1.0, now);
-        if let Some(free) = &mut exchange.free {
+        (exchange.cold_credit, exchange.cold_credit_at) = (credit - 1.0, now);
+        if let Some(free) = &mut exchange.free_circuits {
             *free -= call.width;
         }
-        let rate = self.rates.entry(exchange.number).or_insert((0.0, now));
-        *rate = (faded_rate(*rate, now) + 1_000.0 / RATE_MS, now);
+        let rate = self.send_rates.entry(exchange.number).or_insert((0.0, now));
+        *rate = (decayed_rate(*rate, now) + 1_000.0 / RATE_TIME_CONSTANT_MS, now);
         actions.push(Action::Send { call: id, exchange: to, timeout_ms: call.deadline - now });
     }
 
-    /// Takes an attempt off the books of its exchange and learns from how long it took; from a wait in vain
-    /// only if no later attempt was answered meanwhile.
-    fn settle(&mut self, id: CallId, at: ExchangeId, took: f64, answer: bool) {
+    /// Removes an attempt from the open ones of its exchange and learns from its duration. The duration of an
+    /// attempt without an answer counts only if no attempt sent later was answered meanwhile.
+    fn close_attempt(&mut self, id: CallId, at: ExchangeId, elapsed_ms: f64, answered: bool) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(&at) else { return };
-        let Some(sent) = exchange.out.remove(&id) else { return };
-        let tells = if answer { sent >= exchange.answered } else { sent > exchange.answered };
-        if answer {
-            exchange.answered = exchange.answered.max(sent);
-            (exchange.answered_at, exchange.trials) = (now, 0);
-        }
-        if tells && took.is_finite() {
-            let common = decayed(self.common, now - self.common_at);
-            let old = common + decayed(exchange.delay - common, now - exchange.delay_at);
-            let weight = if answer && exchange.in_vain && took < old { 0.7 } else { DELAY_WEIGHT };
-            exchange.delay = old + weight * (took - old);
-            exchange.in_vain = !answer;
+        let Some(sent) = exchange.open_attempts.remove(&id) else { return };
+        let counts =
+            if answered { sent >= exchange.answered_sent_at } else { sent > exchange.answered_sent_at };
+        if answered {
+            exchange.answered_sent_at = exchange.answered_sent_at.max(sent);
+            (exchange.last_answer_at, exchange.trials) = (now, 0);
+        }
+        if counts && elapsed_ms.is_finite() {
+            let common = decayed_delay(self.common_delay, now - self.common_delay_at);
+            let old = common + decayed_delay(exchange.delay - common, now - exchange.delay_at);
+            let weight =
+                if answered && exchange.delay_unanswered && elapsed_ms < old { 0.7 } else { DELAY_WEIGHT };
+            exchange.delay = old + weight * (elapsed_ms - old);
+            exchange.delay_unanswered = !answered;
             exchange.delay_at = now;
-            let weight = if took > common { LONGER_WEIGHT } else { SHORTER_WEIGHT };
-            self.common = common + weight * (took - common);
-            self.common_at = now;
+            let weight =
+                if elapsed_ms > common { COMMON_DELAY_RISE_WEIGHT } else { COMMON_DELAY_FALL_WEIGHT };
+            self.common_delay = common + weight * (elapsed_ms - common);
+            self.common_delay_at = now;
         }
     }
 
+    /// Learns from the end of an attempt and decides how its call continues.
     #[allow(clippy::too_many_arguments)]
-    fn resolve(
+    fn end_attempt(
         &mut self,
         id: CallId,
         at: ExchangeId,
         outcome: Outcome,
         reason: Reason,
-        took: f64,
-        closed: bool,
+        elapsed_ms: f64,
+        call_closed: bool,
         actions: &mut Vec<Action>,
     ) {
-        let proven = matches!(outcome, Outcome::Congested | Outcome::NoConnection | Outcome::NotSent);
-        let never_stood = self.exchanges.get(&at).is_some_and(|e| e.out.contains_key(&id));
-        // A connection that is refused takes no time at all, and one that breaks does so at any time: neither
-        // says anything of a processor's delay.
-        if never_stood && !matches!(outcome, Outcome::NotSent | Outcome::NoConnection | Outcome::Reset) {
-            self.settle(id, at, took, !matches!(outcome, Outcome::TimedOut | Outcome::Cancelled));
+        let not_executed = matches!(outcome, Outcome::Congested | Outcome::NoConnection | Outcome::NotSent);
+        let was_open = self.exchanges.get(&at).is_some_and(|e| e.open_attempts.contains_key(&id));
+        // A connection that is refused takes no time, and one that breaks does so at any time: neither shows
+        // the delay of a processor.
+        if was_open && !matches!(outcome, Outcome::NotSent | Outcome::NoConnection | Outcome::Reset) {
+            self.close_attempt(
+                id,
+                at,
+                elapsed_ms,
+                !matches!(outcome, Outcome::TimedOut | Outcome::Cancelled),
+            );
         } else if let Some(exchange) = self.exchanges.get_mut(&at) {
-            exchange.out.remove(&id);
+            exchange.open_attempts.remove(&id);
         }
         let number = self.exchanges.get(&at).map_or(Number::MAX, |e| e.number);
         let Some(call) = self.calls.get_mut(&id) else { return };
-        if closed {
-            return self.forget(id);
+        if call_closed {
+            return self.drop_call(id);
         }
-        let Phase::Out { to } = call.phase else { return };
+        let Phase::Attempting { to } = call.phase else { return };
         if to != at {
             return;
         }
-        call.phase = Phase::Waiting;
-        call.may_have_run |= !proven;
-        let (dest, called) = (call.dest, call.called);
+        call.phase = Phase::Deciding;
+        call.may_have_run |= !not_executed;
+        let (dest, called_number) = (call.dest, call.called_number);
         if reason == Reason::CrankBack {
             if let Some(tandem) = self.exchanges.get_mut(&at) {
-                tandem.turned_back += 1.0;
+                tandem.cranked_back += 1.0;
             }
             let leg = self.legs.entry((number, dest)).or_default();
-            leg.full_until = self.now + CRANKBACK_MS;
-            if !leg.carried && leg.told.is_none() {
-                leg.absent_until = self.now + ABSENT_MS;
+            leg.full_until = self.now + LEG_FULL_MS;
+            if !leg.has_carried && leg.reported.is_none() {
+                leg.absent_until = self.now + LEG_ABSENT_MS;
             }
         }
-        // Nothing was sent, so nothing is taken. No news says so where news comes on the connection that
-        // failed: the group would look full after some calls, and its exchange would lose its usual rate.
+        // Nothing was sent, so no circuit is in use, and no report corrects the count, because reports arrive
+        // on the connection that failed. Without this the group would look full after some calls, and its
+        // exchange would lose its usual send rate.
         if outcome == Outcome::NoConnection
-            && let Some(free) = self.exchanges.get_mut(&at).and_then(|e| e.free.as_mut())
+            && let Some(free) = self.exchanges.get_mut(&at).and_then(|e| e.free_circuits.as_mut())
         {
             *free += call.width;
         }
         if reason == Reason::NoCircuit
             && let Some(exchange) = self.exchanges.get_mut(&at)
         {
-            exchange.free = Some(exchange.free.unwrap_or(0.0).clamp(0.0, call.width - 1.0));
+            exchange.free_circuits = Some(exchange.free_circuits.unwrap_or(0.0).clamp(0.0, call.width - 1.0));
         }
         if let (Reason::ProcessorFull(wait), Some(exchange)) = (reason, self.exchanges.get_mut(&at)) {
-            exchange.delay = exchange.delay.max(wait).max(2.0 * self.set.classes[call.class].target_setup_ms);
+            exchange.delay =
+                exchange.delay.max(wait).max(2.0 * self.settings.classes[call.class].target_setup_ms);
             exchange.delay_at = self.now;
         }
-        // What breaks is mostly the way to an exchange: one that has died refuses the next attempt, and any
-        // other is reached as well as before.
+        // A reset mostly concerns the path to an exchange: one that has died refuses the next attempt, and
+        // any other can be reached as before.
         if matches!(outcome, Outcome::Reset | Outcome::Cancelled | Outcome::Busy) {
-            call.tried.remove(&at);
+            call.excluded.remove(&at);
         }
         match outcome {
             Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => {
-                let until = self.now + self.set.release_pause_ms;
-                // Transit has no second route: the exchange it came from has, and must hear at once.
-                if call.transit || until + LEAST_LEFT_MS > call.deadline {
-                    return self.end(id, actions);
+                let until = self.now + self.settings.release_pause_ms;
+                // A call in transit has no second route here. The exchange that it came from has one and must
+                // learn of the failure at once.
+                if call.in_transit || until + MIN_REMAINING_MS > call.deadline {
+                    return self.end_call(id, actions);
                 }
-                call.phase = Phase::Held { until };
-                actions.push(Action::SetTimer { delay_ms: self.set.release_pause_ms, tag: u64::from(id) });
+                call.phase = Phase::Releasing { until };
+                actions
+                    .push(Action::SetTimer { delay_ms: self.settings.release_pause_ms, tag: u64::from(id) });
             }
-            // A busy number stays busy. A fault in signalling passes: one exchange answered four in five so.
+            // A busy number stays busy, but a signalling fault passes: one exchange answered four of five
+            // set-ups with such a fault.
             Outcome::Busy if reason == Reason::UserBusy => {
-                if called != 0 {
-                    self.gapped.insert(called, self.now + GAP_MS);
+                if called_number != 0 {
+                    self.gapped_until.insert(called_number, self.now + CALL_GAP_MS);
                 }
-                self.end(id, actions);
+                self.end_call(id, actions);
             }
             _ => self.decide(id, actions),
         }
     }
 
-    /// The release wait of a held call is over.
-    fn release(&mut self, tag: u64, actions: &mut Vec<Action>) {
+    /// Decides again on a call whose release pause is over.
+    fn end_release_pause(&mut self, tag: u64, actions: &mut Vec<Action>) {
         let Ok(id) = CallId::try_from(tag) else { return };
         let Some(call) = self.calls.get_mut(&id) else { return };
         match call.phase {
-            Phase::Held { until } if until <= self.now => {
-                call.phase = Phase::Waiting;
+            Phase::Releasing { until } if until <= self.now => {
+                call.phase = Phase::Deciding;
                 self.decide(id, actions);
             }
-            Phase::Held { until } => actions.push(Action::SetTimer { delay_ms: until - self.now, tag }),
+            Phase::Releasing { until } => {
+                actions.push(Action::SetTimer { delay_ms: until - self.now, tag });
+            }
             _ => {}
         }
     }
 
-    fn forget(&mut self, id: CallId) {
-        if let Some(Call { phase: Phase::Out { to }, .. }) = self.calls.remove(&id)
+    fn drop_call(&mut self, id: CallId) {
+        if let Some(Call { phase: Phase::Attempting { to }, .. }) = self.calls.remove(&id)
             && let Some(exchange) = self.exchanges.get_mut(&to)
         {
-            exchange.out.remove(&id);
+            exchange.open_attempts.remove(&id);
         }
     }
 
-    // ---- route choice: the design's mechanism ----
+    // ---- route choice ----
 
-    /// The route of a call: direct while the own group has room, else the freest of a few random tandems.
-    fn choose(&mut self, id: CallId) -> Option<ExchangeId> {
+    /// The route of a call: direct while the own group has room, else over the tandem with the most room
+    /// among a few random ones.
+    fn choose_route(&mut self, id: CallId) -> Option<ExchangeId> {
         let call = self.calls.get(&id)?.clone();
-        if self.set.home.is_none() {
+        if self.settings.home.is_none() {
             return self.choose_pool(&call);
         }
         let direct = self.usable(call.dest);
-        let reserve =
-            if call.transit { TRANSIT_RESERVE } else { direct.map_or(0.0, |to| self.reserve(&call, to)) };
+        let reserve = if call.in_transit {
+            TRANSIT_RESERVE_CIRCUITS
+        } else {
+            direct.map_or(0.0, |to| self.worth_reserve(&call, to))
+        };
         if let Some(to) = direct
-            && !call.tried.contains(&to)
-            && self.room(to) >= call.width + reserve
+            && !call.excluded.contains(&to)
+            && self.free_circuits(to) >= call.width + reserve
         {
-            return (self.admit(&call, &[to]) || self.on_trial(to)).then_some(to);
+            return (self.admits(&call, &[to]) || self.trial_due(to)).then_some(to);
         }
-        // No tandem leads on to an exchange that is told off or was never listed; the own one is reached
-        // that way.
-        let listed = self.by_number.contains_key(&call.dest) || Some(call.dest) == self.set.home;
-        if call.transit || !listed {
+        // No tandem leads to an exchange that is not ready or was never listed. A call that names the own
+        // exchange as its destination reaches it over a tandem.
+        let listed = self.ready_by_number.contains_key(&call.dest) || Some(call.dest) == self.settings.home;
+        if call.in_transit || !listed {
             return None;
         }
-        // Without a group of its own the pair was planned over a tandem: that is its first route, not
-        // overflow.
-        let overflow = direct.is_none_or(|to| self.linked(to));
+        // A pair of exchanges without a group between them is planned to use a tandem: that is its first
+        // route, not overflow.
+        let overflow = direct.is_none_or(|to| self.may_have_group(to));
         let tandem = self.choose_tandem(&call, !overflow)?;
-        let own_reserve = self.reserve(&call, tandem) + if overflow { TRANSIT_RESERVE } else { 0.0 };
-        let fits = self.room(tandem) >= call.width + own_reserve
-            && self.far_room(tandem, call.dest) >= call.width + TRANSIT_RESERVE;
-        let way: Vec<ExchangeId> = direct.filter(|_| overflow).into_iter().chain([tandem]).collect();
-        (fits && self.admit(&call, &way)).then_some(tandem)
-    }
-
-    /// Whether a group leads to this exchange; one that was never heard of may.
-    fn linked(&self, to: ExchangeId) -> bool {
-        self.exchanges.get(&to).is_some_and(|e| e.free.is_none() || e.total > 0.0)
-    }
-
-    /// The freest of a few random tandems. Only routes that exist are sampled, as far as known: an own
-    /// group and no far leg known to be absent. While some have carried a call to the destination and have
-    /// room, only those; else, where peers tell nothing, only the tandems with the best record. A `first`
-    /// route is not drawn without room.
-    fn choose_tandem(&mut self, call: &Call, first: bool) -> Option<ExchangeId> {
-        let mut open = Vec::new();
-        let mut sure = Vec::new();
-        for (number, to) in self.by_number.iter().filter(|(number, _)| **number != call.dest) {
+        let own_reserve =
+            self.worth_reserve(&call, tandem) + if overflow { TRANSIT_RESERVE_CIRCUITS } else { 0.0 };
+        let fits = self.free_circuits(tandem) >= call.width + own_reserve
+            && self.second_leg_circuits(tandem, call.dest) >= call.width + TRANSIT_RESERVE_CIRCUITS;
+        let route: Vec<ExchangeId> = direct.filter(|_| overflow).into_iter().chain([tandem]).collect();
+        (fits && self.admits(&call, &route)).then_some(tandem)
+    }
+
+    /// Whether a group leads to this exchange; where none was reported yet, one may.
+    fn may_have_group(&self, to: ExchangeId) -> bool {
+        self.exchanges.get(&to).is_some_and(|e| e.free_circuits.is_none() || e.total_circuits > 0.0)
+    }
+
+    /// The tandem with the most room among a few random ones. Candidates have an own group and a second leg
+    /// that is not known to be absent. While some candidates with room have carried a call to the
+    /// destination, only those are sampled; else, where peers send no reports, only those with the best
+    /// record. For a `first_route`, candidates without room are left out.
+    fn choose_tandem(&mut self, call: &Call, first_route: bool) -> Option<ExchangeId> {
+        let mut candidates = Vec::new();
+        let mut proven = Vec::new();
+        for (number, to) in self.ready_by_number.iter().filter(|(number, _)| **number != call.dest) {
             let leg = self.legs.get(&(*number, call.dest)).copied().unwrap_or_default();
             if self.usable(*number).is_none()
-                || !self.linked(*to)
-                || call.tried.contains(to)
+                || !self.may_have_group(*to)
+                || call.excluded.contains(to)
                 || leg.absent_until > self.now
             {
                 continue;
             }
-            let (own, far) = (self.room(*to), self.far_room(*to, call.dest));
-            let room = own >= call.width && far >= call.width + TRANSIT_RESERVE;
-            if !room && first {
+            let (own, second) = (self.free_circuits(*to), self.second_leg_circuits(*to, call.dest));
+            let has_room = own >= call.width && second >= call.width + TRANSIT_RESERVE_CIRCUITS;
+            if !has_room && first_route {
                 continue;
             }
-            if room && leg.carried {
-                sure.push(*to);
+            if has_room && leg.has_carried {
+                proven.push(*to);
             }
-            open.push(*to);
+            candidates.push(*to);
         }
-        if !sure.is_empty() {
-            open = sure;
-        } else if !self.set.may_message_peers {
-            let zone = self.by_number.get(&call.dest).map(|id| self.exchanges[id].zone);
+        if !proven.is_empty() {
+            candidates = proven;
+        } else if !self.settings.may_message_peers {
+            let zone = self.ready_by_number.get(&call.dest).map(|id| self.exchanges[id].zone);
             let record = |to: &ExchangeId| {
                 let e = &self.exchanges[to];
-                let near = if Some(e.zone) == zone { 1.0 } else { FAR_ZONE };
-                near * (e.carried + e.total / (e.total + FAIR_GROUP)) / (e.carried + e.turned_back + 1.0)
+                let zone_factor = if Some(e.zone) == zone { 1.0 } else { OTHER_ZONE_FACTOR };
+                zone_factor * (e.carried + e.total_circuits / (e.total_circuits + NEUTRAL_GROUP_CIRCUITS))
+                    / (e.carried + e.cranked_back + 1.0)
             };
-            open.shuffle(&mut self.rng);
-            open.sort_by(|a, b| record(b).total_cmp(&record(a)));
-            open.truncate(((open.len() as f64 * BEST_PART).ceil() as usize).max(SAMPLED_TANDEMS));
+            candidates.shuffle(&mut self.rng);
+            candidates.sort_by(|a, b| record(b).total_cmp(&record(a)));
+            candidates.truncate(
+                ((candidates.len() as f64 * BEST_RECORD_FRACTION).ceil() as usize).max(MAX_SAMPLED_TANDEMS),
+            );
         }
-        self.freest(open, |this, picked| this.route_room(picked, call.dest)).map(|(_, picked)| picked)
+        self.best_of_sample(candidates, |this, picked| this.route_room(picked, call.dest))
+            .map(|(_, picked)| picked)
     }
 
-    /// The freest of a few random ones, by room then size, and what it has; on ties the one drawn first.
-    fn freest(
+    /// The best of a few random candidates, by free circuits and then by size, with both values; on ties the
+    /// one that was drawn first.
+    fn best_of_sample(
         &mut self,
-        mut open: Vec<ExchangeId>,
+        mut candidates: Vec<ExchangeId>,
         room: impl Fn(&Self, ExchangeId) -> (f64, f64),
     ) -> Option<((f64, f64), ExchangeId)> {
         let mut best: Option<((f64, f64), ExchangeId)> = None;
-        let d = if self.set.may_message_peers { SAMPLED_TOLD } else { SAMPLED_TANDEMS };
-        for _ in 0..d.min(open.len()) {
-            let picked = open.swap_remove(self.rng.random_range(0..open.len()));
+        let samples = if self.settings.may_message_peers {
+            MAX_SAMPLED_TANDEMS_WITH_REPORTS
+        } else {
+            MAX_SAMPLED_TANDEMS
+        };
+        for _ in 0..samples.min(candidates.len()) {
+            let picked = candidates.swap_remove(self.rng.random_range(0..candidates.len()));
             let key = room(self, picked);
             if best.is_none_or(|(top, _)| key > top) {
                 best = Some((key, picked));
@@ -624,378 +709,432 @@
         best
     }
 
-    /// Pools: the first choice while it has room, else the freest of a few random ones that serve the class.
+    /// Pools: the first choice while it has room, else the one with the most room among a few random pools
+    /// that serve the class.
     fn choose_pool(&mut self, call: &Call) -> Option<ExchangeId> {
         if let Some(first) = self.usable(call.dest)
-            && !call.tried.contains(&first)
-            && self.room(first) >= call.width
+            && !call.excluded.contains(&first)
+            && self.free_circuits(first) >= call.width
         {
-            return self.admit(call, &[first]).then_some(first);
+            return self.admits(call, &[first]).then_some(first);
         }
-        let skilled = &self.set.classes[call.class].pools;
-        let open: Vec<ExchangeId> = self
+        let serving = &self.settings.classes[call.class].pools;
+        let candidates: Vec<ExchangeId> = self
             .exchanges
             .iter()
-            .filter(|(id, e)| e.number != call.dest && !call.tried.contains(id))
-            .filter(|(_, e)| skilled.contains(&e.number))
+            .filter(|(id, e)| e.number != call.dest && !call.excluded.contains(id))
+            .filter(|(_, e)| serving.contains(&e.number))
             .filter_map(|(_, e)| self.usable(e.number))
             .collect();
-        let size = |this: &Self, picked| this.exchanges.get(&picked).map_or(0.0, |e| e.total);
-        let (key, picked) = self.freest(open, |this, picked| (this.room(picked), size(this, picked)))?;
-        (key.0 >= call.width && self.admit(call, &[picked])).then_some(picked)
+        let size = |this: &Self, picked| this.exchanges.get(&picked).map_or(0.0, |e| e.total_circuits);
+        let (key, picked) =
+            self.best_of_sample(candidates, |this, picked| (this.free_circuits(picked), size(this, picked)))?;
+        (key.0 >= call.width && self.admits(call, &[picked])).then_some(picked)
     }
 
-    /// The exchange with this number that takes work now: not the own one, never told off, inside its cold
-    /// budget. A call can name the own exchange as its destination (seen while other call agents were down
-    /// and their callers came here); no group leads there, so such a call only has tandems.
+    /// The ready exchange with this number, unless it is the own one or its cold budget is used up. A call
+    /// can name the own exchange as its destination (seen while other call agents were down and their callers
+    /// came here). No group leads to the own exchange, so such a call can only go over tandems.
     fn usable(&self, number: Number) -> Option<ExchangeId> {
-        if Some(number) == self.set.home {
+        if Some(number) == self.settings.home {
             return None;
         }
-        let id = *self.by_number.get(&number)?;
+        let id = *self.ready_by_number.get(&number)?;
         let exchange = self.exchanges.get(&id)?;
         (self.cold_credit(exchange) >= 1.0).then_some(id)
     }
 
-    /// Free circuits of the own group or the pool; open until something is heard of it.
-    fn room(&self, to: ExchangeId) -> f64 {
-        self.exchanges.get(&to).and_then(|e| e.free).unwrap_or(f64::MAX)
+    /// Free circuits of the own group or the pool; unlimited until some are reported.
+    fn free_circuits(&self, to: ExchangeId) -> f64 {
+        self.exchanges.get(&to).and_then(|e| e.free_circuits).unwrap_or(f64::MAX)
     }
 
-    /// Free circuits of a far leg: as last reported, full after a crank-back, open if unheard.
-    fn far_room(&self, tandem: ExchangeId, dest: Number) -> f64 {
+    /// Free circuits of a second leg: none after a crank-back, else as reported, unlimited without a report.
+    fn second_leg_circuits(&self, tandem: ExchangeId, dest: Number) -> f64 {
         let number = self.exchanges.get(&tandem).map_or(Number::MAX, |e| e.number);
         match self.legs.get(&(number, dest)) {
             Some(leg) if leg.full_until > self.now => 0.0,
-            Some(Leg { told: Some((free, at)), .. }) if self.now - at <= FAR_REPORT_MS => *free,
+            Some(Leg { reported: Some((free, at)), .. }) if self.now - at <= LEG_REPORT_VALID_MS => *free,
             _ => f64::MAX,
         }
     }
 
-    /// Room of a two-leg route (the smaller leg), then the size of its own group.
+    /// Free circuits of a route over a tandem (of the leg that has fewer), and the size of its own group.
     fn route_room(&self, tandem: ExchangeId, dest: Number) -> (f64, f64) {
-        let size = self.exchanges.get(&tandem).map_or(0.0, |e| e.total);
-        (self.room(tandem).min(self.far_room(tandem, dest)), size)
+        let size = self.exchanges.get(&tandem).map_or(0.0, |e| e.total_circuits);
+        (self.free_circuits(tandem).min(self.second_leg_circuits(tandem, dest)), size)
     }
 
     // ---- admission ----
 
-    /// How long a set-up to this exchange is expected to take: recent set-up times, or the age of the oldest
-    /// attempt still out there where that is more.
-    fn expected(&self, to: ExchangeId) -> f64 {
+    /// Expected duration of a set-up to this exchange, in ms: its running set-up time, or the age of the
+    /// oldest open attempt there if that is longer.
+    fn expected_setup_ms(&self, to: ExchangeId) -> f64 {
         let Some(exchange) = self.exchanges.get(&to) else { return 0.0 };
-        let oldest = exchange.oldest_out(self.now);
-        let common = self.own_delay();
-        (common + decayed(exchange.delay - common, self.now - exchange.delay_at)).max(self.now - oldest)
+        let oldest = exchange.oldest_open_attempt_at(self.now);
+        let common = self.own_delay_ms();
+        (common + decayed_delay(exchange.delay - common, self.now - exchange.delay_at)).max(self.now - oldest)
     }
 
-    /// Delay of the own processor: what set-ups take in common, or how long none was answered while some
-    /// are out at two exchanges at least (at one alone, that one is stuck).
-    fn own_delay(&self) -> f64 {
+    /// Delay at the own processor, in ms: the common delay, or the time without any answer while attempts are
+    /// open at two exchanges or more (at one alone, that exchange is stuck).
+    fn own_delay_ms(&self) -> f64 {
         let mut waits = [0.0_f64; 2];
         for exchange in self.exchanges.values() {
-            let oldest = exchange.oldest_out(self.now);
-            let wait = self.now - oldest.max(self.common_at);
+            let oldest = exchange.oldest_open_attempt_at(self.now);
+            let wait = self.now - oldest.max(self.common_delay_at);
             waits = [waits[0].max(wait), waits[1].max(wait.min(waits[0]))];
         }
-        decayed(self.common, self.now - self.common_at).max(waits[1])
+        decayed_delay(self.common_delay, self.now - self.common_delay_at).max(waits[1])
     }
 
-    /// Exception on a short group (trunk reservation): while a group was seen full within `SHORT_MS`, a
-    /// call leaves some of its circuits to calls that earn more for each circuit and second. A wide call
-    /// leaves its further circuits less: it meets the same edge as a cheap narrow one, not a later one.
-    fn reserve(&self, call: &Call, to: ExchangeId) -> f64 {
-        let short = self.exchanges.get(&to).is_some_and(|e| self.now - e.full_at < SHORT_MS);
-        let value = circuit_value(&self.set.classes[call.class]) / self.top_value;
-        let kept = (WORTH_RESERVE * (1.0 - value)).round() - (call.width - 1.0);
+    /// Circuits that a call leaves free on a short group (trunk reservation) for calls that earn more per
+    /// circuit and second. A group is short for `SHORT_GROUP_MS` after it was seen full. The reserve of a
+    /// wide call is lower by each circuit beyond its first, so that it is refused at the same number of free
+    /// circuits as a narrow call of low worth, not earlier.
+    fn worth_reserve(&self, call: &Call, to: ExchangeId) -> f64 {
+        let short = self.exchanges.get(&to).is_some_and(|e| self.now - e.full_at < SHORT_GROUP_MS);
+        let value = circuit_value(&self.settings.classes[call.class]) / self.max_circuit_value;
+        let kept = (MAX_WORTH_RESERVE_CIRCUITS * (1.0 - value)).round() - (call.width - 1.0);
         if short { kept.max(0.0) } else { 0.0 }
     }
 
-    /// Exception for a crowded number: no call goes there for a while after one found all lines busy, and its
-    /// callers are asked to keep away as long as they will. Transit is left to the agent it came from.
-    fn crowded(&self, call: &Call) -> bool {
-        !call.transit && self.gapped.get(&call.called).is_some_and(|until| *until > self.now)
+    /// Whether the number called is gapped: for a while after a call found all its lines busy, no call is
+    /// sent to it, and its callers get the longest retry-after that they honour. Calls in transit are left to
+    /// the agent that they come from.
+    fn is_gapped(&self, call: &Call) -> bool {
+        !call.in_transit && self.gapped_until.get(&call.called_number).is_some_and(|until| *until > self.now)
     }
 
-    /// Whether no call goes there now but on trial: told off, or so slow that every class is shed.
+    /// Whether only trial calls go to this exchange: it is not ready, or so slow that every class is shed.
     pub fn avoids(&self, id: ExchangeId) -> bool {
-        let most = self.set.classes.iter().map(|c| SHED_AT * c.target_setup_ms).fold(0.0, f64::max);
-        let shed = |e: &Exchange| self.expected(id) - if e.floor < f64::MAX { e.floor } else { 0.0 } >= most;
-        self.exchanges.get(&id).is_none_or(|e| e.told_off || shed(e))
-    }
-
-    /// How long the set-ups that are out will keep the own processor, by the rate at which it has taken them:
-    /// sees a burst before any answer is late. A few are always free, and what hangs at a dead far end
-    /// (incident i590c1c) or was overtaken (r8ab643) is no backlog.
-    fn backlog(&self) -> f64 {
-        let young = |e: &Exchange, at: f64| self.now - at < STUCK_MS && at > e.answered;
-        let out = |e: &Exchange| e.out.values().filter(|at| young(e, **at)).count();
-        let out: usize = self.exchanges.values().map(out).sum();
-        let rate: f64 = self.rates.values().map(|rate| faded_rate(*rate, self.now)).sum();
-        out.saturating_sub(FREE_OUT) as f64 / rate.max(1.0) * 1_000.0
-    }
-
-    /// Exception under overload: a set-up that is expected to stand too late is shed, cheap calls first.
-    fn admit(&self, call: &Call, way: &[ExchangeId]) -> bool {
-        let class = &self.set.classes[call.class];
-        let rank = class.worth / self.top_worth;
+        let max_wait = self
+            .settings
+            .classes
+            .iter()
+            .map(|c| MAX_WAIT_FRACTION_TOP_WORTH * c.target_setup_ms)
+            .fold(0.0, f64::max);
+        let sheds = |e: &Exchange| {
+            self.expected_setup_ms(id) - if e.min_setup_ms < f64::MAX { e.min_setup_ms } else { 0.0 }
+                >= max_wait
+        };
+        self.exchanges.get(&id).is_none_or(|e| e.not_ready || sheds(e))
+    }
+
+    /// Time that the own processor needs for the open attempts at the current send rate, in ms. It shows a
+    /// burst before any answer is late. A few attempts never count, nor do those that are stuck at a dead
+    /// exchange (incident i590c1c) or were overtaken by an answered one (r8ab643).
+    fn backlog_ms(&self) -> f64 {
+        let counts = |e: &Exchange, at: f64| self.now - at < STUCK_ATTEMPT_MS && at > e.answered_sent_at;
+        let open = |e: &Exchange| e.open_attempts.values().filter(|at| counts(e, **at)).count();
+        let open: usize = self.exchanges.values().map(open).sum();
+        let rate: f64 = self.send_rates.values().map(|rate| decayed_rate(*rate, self.now)).sum();
+        open.saturating_sub(BACKLOG_FREE_ATTEMPTS) as f64 / rate.max(1.0) * 1_000.0
+    }
+
+    /// Whether a call is admitted: under overload, a call that is expected to be established too late is
+    /// shed, calls of low worth first.
+    fn admits(&self, call: &Call, route: &[ExchangeId]) -> bool {
+        let class = &self.settings.classes[call.class];
+        let rank = class.worth / self.max_worth;
         let patience = class.target_setup_ms.min(call.deadline - self.now);
-        let limit = patience * (SHED_CHEAP_AT + (SHED_AT - SHED_CHEAP_AT) * rank);
-        // What counts is the wait on top of the way itself: where the way alone takes a good part of the
-        // wanted time, a healthy exchange would else be shed for being far.
+        let max_wait = patience
+            * (MAX_WAIT_FRACTION_NO_WORTH
+                + (MAX_WAIT_FRACTION_TOP_WORTH - MAX_WAIT_FRACTION_NO_WORTH) * rank);
+        // Only the wait beyond the shortest set-up time counts. Otherwise a healthy exchange whose path alone
+        // takes a large part of the target set-up time would be shed because of its distance.
         let wait = |to: &ExchangeId| {
-            let floor =
-                self.exchanges.get(to).map_or(0.0, |e| if e.floor < f64::MAX { e.floor } else { 0.0 });
-            self.expected(*to) - floor
+            let path_ms = self
+                .exchanges
+                .get(to)
+                .map_or(0.0, |e| if e.min_setup_ms < f64::MAX { e.min_setup_ms } else { 0.0 });
+            self.expected_setup_ms(*to) - path_ms
         };
-        self.backlog() < limit && way.iter().all(|to| wait(to) < limit)
+        self.backlog_ms() < max_wait && route.iter().all(|to| wait(to) < max_wait)
     }
 
-    /// Exception for an exchange that seems stuck: now and then a call goes there all the same. Without it
-    /// one that had come back was left out until the last call stuck there had run out of time and what was
-    /// learned from that had faded. One that is slow does answer.
-    fn on_trial(&self, to: ExchangeId) -> bool {
+    /// Whether a trial call may go to an exchange that seems stuck. Without trials, an exchange that had
+    /// recovered was left out until the last call stuck there had timed out and what was learned from that
+    /// had decayed. An exchange that is only slow does answer and needs no trials.
+    fn trial_due(&self, to: ExchangeId) -> bool {
         let Some(exchange) = self.exchanges.get(&to) else { return false };
-        let patience = exchange.patience();
-        let stuck = exchange.in_vain || self.now - exchange.oldest_out(self.now) >= patience;
-        let gap = TRIAL_MS * f64::from(1 << exchange.trials.min(4));
-        stuck && self.now - exchange.answered_at >= patience && self.now - exchange.sent_at >= gap
-    }
-
-    /// Rule 4. Set-ups that a cold exchange may still be sent by this agent; one is needed for a send. They
-    /// grow with what it usually sent there (an agent that just started: a fair part of what it sends
-    /// elsewhere), times the multiple and the part of its capacity that the exchange has by now. If every
-    /// agent keeps to that, all together stay under the multiple of what the warm exchange carried. The
-    /// first credits of many agents come due at random times: a floor of one set-up each would add up, as
-    /// cut calls come back to all agents at once.
+        let lost_answer_ms = exchange.lost_answer_ms();
+        let stuck = exchange.delay_unanswered
+            || self.now - exchange.oldest_open_attempt_at(self.now) >= lost_answer_ms;
+        let interval_ms = MIN_TRIAL_INTERVAL_MS * f64::from(1 << exchange.trials.min(4));
+        stuck
+            && self.now - exchange.last_answer_at >= lost_answer_ms
+            && self.now - exchange.last_sent_at >= interval_ms
+    }
+
+    /// Rule 4: set-ups that this agent may still send to a cold exchange; it takes one to send. The credit
+    /// grows with the agent's usual send rate to the exchange (for an agent that has just started: an equal
+    /// part of what it sends elsewhere), times the overload factor and the fraction of its capacity that the
+    /// exchange has by now. If every agent keeps to its credit, all together stay below the overload factor
+    /// times what the warm exchange carried. Each agent starts with a random part of one set-up, so that the
+    /// agents send their first set-ups at random times. A minimum of one set-up for each agent would add up,
+    /// because calls that were cut return to all agents at once.
     fn cold_credit(&self, exchange: &Exchange) -> f64 {
-        let age = self.now - exchange.born;
-        if exchange.born <= 0.0 || age >= self.set.cold_period_ms {
+        let age = self.now - exchange.started_ms;
+        if exchange.started_ms <= 0.0 || age >= self.settings.cold_period_ms {
             return f64::MAX;
         }
-        let grown = self.set.cold_initial_capacity
-            + (1.0 - self.set.cold_initial_capacity) * (age / self.set.cold_period_ms).clamp(0.0, 1.0);
-        let others = self.rates.iter().filter(|(number, _)| **number != exchange.number);
-        let all: f64 = others.map(|(_, rate)| faded_rate(*rate, self.now)).sum();
-        let fair = all / self.by_number.len().max(1) as f64;
-        let usual = if exchange.usual > 0.0 { exchange.usual } else { fair };
-        let per_ms = COLD_PART * self.set.overload_factor * grown * usual / self.processes / 1_000.0;
-        let most = (COLD_BURST * per_ms * self.set.overload_duration_ms).max(1.0);
-        (exchange.credit + per_ms * (self.now - exchange.credit_at)).min(most)
+        let capacity = self.settings.cold_initial_capacity
+            + (1.0 - self.settings.cold_initial_capacity)
+                * (age / self.settings.cold_period_ms).clamp(0.0, 1.0);
+        let others = self.send_rates.iter().filter(|(number, _)| **number != exchange.number);
+        let all: f64 = others.map(|(_, rate)| decayed_rate(*rate, self.now)).sum();
+        let equal_part = all / self.ready_by_number.len().max(1) as f64;
+        let usual_rate = if exchange.usual_rate > 0.0 { exchange.usual_rate } else { equal_part };
+        let per_ms = COLD_BUDGET_FRACTION * self.settings.overload_factor * capacity * usual_rate
+            / self.process_count
+            / 1_000.0;
+        let max = (MAX_COLD_BURST_FRACTION * per_ms * self.settings.overload_duration_ms).max(1.0);
+        (exchange.cold_credit + per_ms * (self.now - exchange.cold_credit_at)).min(max)
     }
 
-    // ---- what is learned ----
+    // ---- learning ----
 
-    fn learn_list(&mut self, kind: ListUpdateKind, entries: &[ListedExchange]) {
+    fn apply_list(&mut self, kind: ListUpdateKind, entries: &[ListedExchange]) {
         if kind == ListUpdateKind::FetchFailed {
             self.subscribed = false;
             return;
         }
         if matches!(kind, ListUpdateKind::Complete | ListUpdateKind::Cached) {
-            let named: BTreeSet<_> = entries.iter().map(|entry| entry.id).collect();
+            let listed: BTreeSet<_> = entries.iter().map(|entry| entry.id).collect();
             for (_, exchange) in
-                self.exchanges.iter_mut().filter(|(id, e)| !e.told_off && !named.contains(id))
+                self.exchanges.iter_mut().filter(|(id, e)| !e.not_ready && !listed.contains(id))
             {
-                exchange.told_off = true;
-                exchange.told_off_at = self.now;
+                exchange.not_ready = true;
+                exchange.readiness_at = self.now;
             }
         }
         for entry in entries {
-            // A new processor takes over the group of the one it replaces.
-            let former = self.by_number.get(&entry.number).and_then(|id| self.exchanges.get(id));
-            let (free, total) = former.map_or((None, 0.0), |e| (e.free, e.total));
+            // A new processor takes over the group of the one that it replaces.
+            let former = self.ready_by_number.get(&entry.number).and_then(|id| self.exchanges.get(id));
+            let (free_circuits, total_circuits) =
+                former.map_or((None, 0.0), |e| (e.free_circuits, e.total_circuits));
             let exchange = self.exchanges.entry(entry.id).or_insert_with(|| Exchange {
                 number: entry.number,
                 zone: entry.zone,
-                born: 0.0,
-                told_off: false,
-                told_off_at: 0.0,
+                started_ms: 0.0,
+                not_ready: false,
+                readiness_at: 0.0,
                 carried: 0.0,
-                turned_back: 0.0,
-                heard: None,
-                free,
-                total,
+                cranked_back: 0.0,
+                last_message: None,
+                free_circuits,
+                total_circuits,
                 full_at: f64::MIN,
                 delay: 0.0,
                 delay_at: 0.0,
-                in_vain: false,
-                sent_at: f64::MIN,
-                floor: f64::MAX,
-                out: BTreeMap::new(),
-                answered: f64::MIN,
-                answered_at: f64::MIN,
+                delay_unanswered: false,
+                last_sent_at: f64::MIN,
+                min_setup_ms: f64::MAX,
+                open_attempts: BTreeMap::new(),
+                answered_sent_at: f64::MIN,
+                last_answer_at: f64::MIN,
                 trials: 0,
-                usual: 0.0,
-                credit: 0.0,
-                credit_at: 0.0,
+                usual_rate: 0.0,
+                cold_credit: 0.0,
+                cold_credit_at: 0.0,
             });
             exchange.number = entry.number;
             exchange.zone = entry.zone;
-            exchange.told_off = entry.readiness != Readiness::Ready;
-            exchange.told_off_at = self.now;
-            let born = if entry.started_ms.is_finite() { entry.started_ms } else { self.now };
-            if exchange.born != born {
-                exchange.born = born;
-                // Less the last send itself: a rate taken at a send is that much too high.
-                let rate = self.rates.get(&entry.number).map_or(0.0, |rate| rate.0);
-                exchange.usual = (rate - 1_000.0 / RATE_MS).max(0.0);
-                exchange.credit = self.rng.random();
-                exchange.credit_at = self.now;
+            exchange.not_ready = entry.readiness != Readiness::Ready;
+            exchange.readiness_at = self.now;
+            let started_ms = if entry.started_ms.is_finite() { entry.started_ms } else { self.now };
+            if exchange.started_ms != started_ms {
+                exchange.started_ms = started_ms;
+                // The rate was computed at the last send and is too high by that send itself.
+                let rate = self.send_rates.get(&entry.number).map_or(0.0, |rate| rate.0);
+                exchange.usual_rate = (rate - 1_000.0 / RATE_TIME_CONSTANT_MS).max(0.0);
+                exchange.cold_credit = self.rng.random();
+                exchange.cold_credit_at = self.now;
             }
         }
-        self.by_number.clear();
-        for (id, exchange) in self.exchanges.iter().filter(|(_, e)| !e.told_off) {
-            let held = self.by_number.entry(exchange.number).or_insert(*id);
-            if self.exchanges[held].born < exchange.born {
-                *held = *id;
+        self.ready_by_number.clear();
+        for (id, exchange) in self.exchanges.iter().filter(|(_, e)| !e.not_ready) {
+            let latest = self.ready_by_number.entry(exchange.number).or_insert(*id);
+            if self.exchanges[latest].started_ms < exchange.started_ms {
+                *latest = *id;
             }
         }
     }
 
-    fn learn_report(&mut self, from: ExchangeId, report: Option<&LoadReport>) {
+    fn apply_load_report(&mut self, from: ExchangeId, report: Option<&LoadReport>) {
         let (Some(report), Some(exchange)) = (report, self.exchanges.get_mut(&from)) else { return };
-        for (value, field) in report.iter().zip(&self.set.report_fields) {
+        for (value, field) in report.iter().zip(&self.settings.report_fields) {
             if !value.is_finite() || *value < 0.0 {
                 continue;
             }
             match field {
                 ReportField::FreeCircuits => {
-                    exchange.free = Some(*value);
+                    exchange.free_circuits = Some(*value);
                     if *value < 1.0 {
                         exchange.full_at = self.now;
                     }
                 }
-                ReportField::TotalCircuits => exchange.total = *value,
+                ReportField::TotalCircuits => exchange.total_circuits = *value,
                 _ => {}
             }
         }
     }
 
-    /// Tells every peer the free circuits of the own groups and which numbers have none, so that it judges
-    /// far legs by news. Nothing is sent while the own processor is slow: messages are work there. A
-    /// message is the version, the own number, a stamp, the first number it tells of, then a byte for each
-    /// number from there on.
-    fn tell_peers(&self, actions: &mut Vec<Action>) {
-        let Some(home) = self.set.home.filter(|_| self.set.may_message_peers && self.set.agent_count > 1)
+    /// Reports to every peer the free circuits of the own groups and the numbers without one, so that the
+    /// peers know their second legs. Nothing is sent while the own processor is slow, because messages take
+    /// processor time. A message consists of the version, the own number, a time stamp, the first number that
+    /// it covers, and one byte for each number from there on.
+    fn report_to_peers(&self, actions: &mut Vec<Action>) {
+        let Some(home) =
+            self.settings.home.filter(|_| self.settings.may_message_peers && self.settings.agent_count > 1)
         else {
             return;
         };
-        let slowest =
-            self.set.classes.iter().map(|c| c.target_setup_ms).fold(f64::MAX, f64::min) * SHED_CHEAP_AT;
-        if self.own_delay() >= slowest {
+        let max_delay_ms = self.settings.classes.iter().map(|c| c.target_setup_ms).fold(f64::MAX, f64::min)
+            * MAX_WAIT_FRACTION_NO_WORTH;
+        if self.own_delay_ms() >= max_delay_ms {
             return;
         }
-        let numbers: Vec<u16> = self.by_number.keys().filter_map(|n| u16::try_from(*n).ok()).collect();
+        let numbers: Vec<u16> = self.ready_by_number.keys().filter_map(|n| u16::try_from(*n).ok()).collect();
         let (Ok(home), Some(last)) = (u16::try_from(home), numbers.last()) else { return };
-        let said =
-            |number: &u16| match self.by_number.get(&Number::from(*number)).map(|id| &self.exchanges[id]) {
-                _ if *number == home => NO_GROUP,
-                Some(Exchange { free: None, .. }) => NOT_KNOWN,
-                Some(Exchange { free: Some(free), total, .. }) if *total > 0.0 => {
-                    free.clamp(0.0, f64::from(NOT_KNOWN - 1)) as u8
-                }
-                _ => NO_GROUP,
-            };
-        for first in (0..=*last).step_by(MESSAGE_NUMBERS) {
-            let block = first..=first.saturating_add(MESSAGE_NUMBERS as u16 - 1).min(*last);
+        let group_state = |number: &u16| match self
+            .ready_by_number
+            .get(&Number::from(*number))
+            .map(|id| &self.exchanges[id])
+        {
+            _ if *number == home => NO_GROUP,
+            Some(Exchange { free_circuits: None, .. }) => UNKNOWN_GROUP,
+            Some(Exchange { free_circuits: Some(free), total_circuits, .. }) if *total_circuits > 0.0 => {
+                free.clamp(0.0, f64::from(UNKNOWN_GROUP - 1)) as u8
+            }
+            _ => NO_GROUP,
+        };
+        for first in (0..=*last).step_by(MAX_NUMBERS_PER_PEER_MESSAGE) {
+            let block = first..=first.saturating_add(MAX_NUMBERS_PER_PEER_MESSAGE as u16 - 1).min(*last);
             if numbers.iter().any(|number| block.contains(number)) {
-                let mut bytes = vec![MESSAGE_VERSION];
-                for word in [home, stamp(self.now), first] {
-                    bytes.extend(word.to_le_bytes());
+                let mut bytes = vec![PEER_MESSAGE_VERSION];
+                for field in [home, message_stamp(self.now), first] {
+                    bytes.extend(field.to_le_bytes());
                 }
-                bytes.extend(block.map(|number| said(&number)));
+                bytes.extend(block.map(|number| group_state(&number)));
                 actions.push(Action::SendPeerMessage { to: None, bytes });
             }
         }
     }
 
-    /// A peer's message, passed over if it is of another version, older than the last, or from an unknown
-    /// peer.
-    fn learn_message(&mut self, bytes: &[u8]) {
-        let [MESSAGE_VERSION, home_low, home_high, stamp_low, stamp_high, low, high, legs @ ..] = bytes
+    /// Applies a peer's report. It is ignored if it is of another version, older than the last one, or not
+    /// from a ready exchange other than the own one.
+    fn apply_peer_message(&mut self, bytes: &[u8]) {
+        let [
+            PEER_MESSAGE_VERSION,
+            home_low,
+            home_high,
+            stamp_low,
+            stamp_high,
+            first_low,
+            first_high,
+            group_states @ ..,
+        ] = bytes
         else {
             return;
         };
         let peer = Number::from(u16::from_le_bytes([*home_low, *home_high]));
-        let sent = u16::from_le_bytes([*stamp_low, *stamp_high]);
-        let first = Number::from(u16::from_le_bytes([*low, *high]));
-        let Some(id) = self.by_number.get(&peer).filter(|_| Some(peer) != self.set.home) else { return };
+        let stamp = u16::from_le_bytes([*stamp_low, *stamp_high]);
+        let first = Number::from(u16::from_le_bytes([*first_low, *first_high]));
+        let Some(id) = self.ready_by_number.get(&peer).filter(|_| Some(peer) != self.settings.home) else {
+            return;
+        };
         let Some(exchange) = self.exchanges.get_mut(id) else { return };
-        let late =
-            |(last, at): (u16, f64)| sent.wrapping_sub(last) > u16::MAX / 2 && self.now - at < FAR_REPORT_MS;
-        if exchange.heard.is_some_and(late) {
+        let is_older = |(last, at): (u16, f64)| {
+            stamp.wrapping_sub(last) > u16::MAX / 2 && self.now - at < LEG_REPORT_VALID_MS
+        };
+        if exchange.last_message.is_some_and(is_older) {
             return;
         }
-        exchange.heard = Some((sent, self.now));
-        for (dest, said) in
-            (first..).zip(legs).filter(|(dest, _)| self.by_number.contains_key(dest) && *dest != peer)
+        exchange.last_message = Some((stamp, self.now));
+        for (dest, group_state) in (first..)
+            .zip(group_states)
+            .filter(|(dest, _)| self.ready_by_number.contains_key(dest) && *dest != peer)
         {
             let leg = self.legs.entry((peer, dest)).or_default();
-            match *said {
-                NO_GROUP => *leg = Leg { absent_until: self.now + ABSENT_MS, ..Leg::default() },
-                NOT_KNOWN => {}
+            match *group_state {
+                NO_GROUP => *leg = Leg { absent_until: self.now + LEG_ABSENT_MS, ..Leg::default() },
+                UNKNOWN_GROUP => {}
                 free => {
-                    leg.told = Some((f64::from(free), self.now));
+                    leg.reported = Some((f64::from(free), self.now));
                     leg.absent_until = 0.0;
                 }
             }
         }
     }
 
-    // ---- upkeep ----
+    // ---- maintenance ----
 
-    fn upkeep(&mut self, actions: &mut Vec<Action>) {
-        let heard = self.exchanges.values().any(|e| e.free.is_some());
-        actions.push(Action::SetTimer { delay_ms: UPKEEP_MS, tag: UPKEEP_TAG });
-        if self.set.must_fetch_list && !self.subscribed && self.now - self.asked_at >= ASK_AGAIN_MS {
+    /// Work that is due at intervals: renews a broken subscription, reports to the peers and removes what is
+    /// out of date.
+    fn maintain(&mut self, actions: &mut Vec<Action>) {
+        let has_reports = self.exchanges.values().any(|e| e.free_circuits.is_some());
+        actions.push(Action::SetTimer { delay_ms: MAINTENANCE_INTERVAL_MS, tag: MAINTENANCE_TAG });
+        if self.settings.must_fetch_list
+            && !self.subscribed
+            && self.now - self.subscribed_at >= MIN_SUBSCRIBE_INTERVAL_MS
+        {
             self.subscribed = true;
-            self.asked_at = self.now;
+            self.subscribed_at = self.now;
             actions.push(Action::Subscribe);
         }
-        if heard && self.now - self.told_at >= TELL_MS {
-            self.told_at = self.now;
-            self.tell_peers(actions);
+        if has_reports && self.now - self.peer_report_at >= MIN_PEER_REPORT_INTERVAL_MS {
+            self.peer_report_at = self.now;
+            self.report_to_peers(actions);
         }
         let now = self.now;
-        self.gapped.retain(|_, until| *until > now);
-        self.exchanges.retain(|_, e| !e.told_off || !e.out.is_empty() || now - e.told_off_at < FORGET_MS);
+        self.gapped_until.retain(|_, until| *until > now);
+        self.exchanges.retain(|_, e| {
+            !e.not_ready || !e.open_attempts.is_empty() || now - e.readiness_at < NOT_READY_RETENTION_MS
+        });
         let listed: BTreeSet<Number> = self.exchanges.values().map(|e| e.number).collect();
         self.legs.retain(|(tandem, dest), _| listed.contains(tandem) && listed.contains(dest));
-        self.rates.retain(|number, _| listed.contains(number));
+        self.send_rates.retain(|number, _| listed.contains(number));
     }
 }
 
-/// The highest worth of a class for each circuit and ms, and for each call, if the settings make sense.
-fn tops(settings: &Settings) -> Result<(f64, f64), SettingsError> {
+/// The highest worth of a class per circuit and ms, and per call.
+///
+/// # Errors
+/// If the settings are invalid.
+fn checked_max_worths(settings: &Settings) -> Result<(f64, f64), SettingsError> {
     if settings.classes.is_empty() {
         return Err(SettingsError("there is no class of call"));
     }
     if settings.classes.iter().any(|c| !(c.width > 0.0 && c.mean_hold_ms > 0.0 && c.target_setup_ms > 0.0)) {
-        return Err(SettingsError("a class has no width, no length or no wanted time"));
+        return Err(SettingsError(
+            "the width, mean duration and target set-up time of every class must be above 0",
+        ));
     }
     if settings.attempt_limit == 0 {
-        return Err(SettingsError("no call may be attempted (try limit 0)"));
+        return Err(SettingsError("the attempt limit is 0, so no call can be sent"));
     }
     let value = settings.classes.iter().map(circuit_value).fold(f64::MIN_POSITIVE, f64::max);
     Ok((value, settings.classes.iter().map(|c| c.worth).fold(f64::MIN_POSITIVE, f64::max)))
 }
 
-/// A delay after some time without news.
-fn decayed(delay: f64, idle_ms: f64) -> f64 {
+/// A learned delay after `idle_ms` without a new set-up time.
+fn decayed_delay(delay: f64, idle_ms: f64) -> f64 {
     delay * 0.5f64.powf(idle_ms.max(0.0) / DELAY_HALF_LIFE_MS)
 }
 
-/// A time as messages carry it: tenths of a second, counted round.
-fn stamp(now: f64) -> u16 {
+/// Time stamp of a message to the peers: tenths of a second, modulo 65,536.
+fn message_stamp(now: f64) -> u16 {
     (now / 100.0).rem_euclid(65_536.0) as u16
 }
 
-/// A running rate after some time without a send.
-fn faded_rate((rate, at): (f64, f64), now: f64) -> f64 {
-    rate * (-(now - at) / RATE_MS).exp()
+/// A running rate that was computed at `at`, as of now if nothing was sent since.
+fn decayed_rate((rate, at): (f64, f64), now: f64) -> f64 {
+    rate * (-(now - at) / RATE_TIME_CONSTANT_MS).exp()
 }
 
-/// What a class earns for each circuit and ms.
+/// Worth of a call of this class per circuit and ms.
 fn circuit_value(class: &Class) -> f64 {
     class.worth / (class.width * class.mean_hold_ms)
 }
--- a/src/decide/learned.rs
+++ b/src/decide/learned.rs
@@ -1,109 +1,115 @@
-//! What the decisions have learned, as plain rows that another process of the same softswitch can go on from. No
-//! decision is made here.
+//! What the decision module has learned, as rows of values that another process of the same softswitch can
+//! continue from. Nothing is decided here.
 
 use super::{Controller, Exchange, Leg};
 use crate::interface::{ExchangeId, Number};
 
-/// One thing learned. A reader passes over topics that it does not know and rows that are too short, so that a newer
-/// program can take the place of an older one.
+/// Learned values of one topic. A receiver ignores topics that it does not know and rows that are too short, so that
+/// a process of a newer version can replace one of an older version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LearnedValues {
-    /// What it is about.
+    /// What the values describe; sent between processes under this name.
     pub topic: String,
-    /// Of which exchange, if it is of one.
+    /// The exchange that they concern, if any.
     pub exchange: Option<ExchangeId>,
-    /// The figures, in the order that the topic has.
+    /// The values, in an order fixed for each topic.
     pub values: Vec<f64>,
 }
 
-fn belief(topic: &str, exchange: Option<ExchangeId>, values: &[f64]) -> LearnedValues {
+fn row(topic: &str, exchange: Option<ExchangeId>, values: &[f64]) -> LearnedValues {
     LearnedValues { topic: topic.to_owned(), exchange, values: values.to_vec() }
 }
 
-/// Both halves of a key, each of which a figure holds exactly.
-fn halves(key: u64) -> [f64; 2] {
-    [(key >> 32) as f64, (key & 0xffff_ffff) as f64]
+/// The upper and lower half of a number called; an `f64` holds each of them exactly.
+fn halves(called_number: u64) -> [f64; 2] {
+    [(called_number >> 32) as f64, (called_number & 0xffff_ffff) as f64]
 }
 
 impl Controller {
-    /// Everything worth handing on. What is out is not: it ends where it was sent from.
+    /// All learned values that are of use to another process. Open attempts are not among them: they end in the
+    /// process that sent them.
     pub fn learned_values(&self) -> Vec<LearnedValues> {
-        let mut all = vec![belief("common", None, &[self.common, self.common_at])];
+        let mut rows = vec![row("common", None, &[self.common_delay, self.common_delay_at])];
         for (id, e) in &self.exchanges {
-            let (known, free) = e.free.map_or((0.0, 0.0), |free| (1.0, free));
-            let in_vain = f64::from(u8::from(e.in_vain));
-            let group = [known, free, e.total, e.full_at];
-            let delay = [e.delay, e.delay_at, in_vain, e.floor, e.answered, e.answered_at];
-            let record = [e.carried, e.turned_back, e.usual, e.born];
-            all.push(belief("exchange", Some(*id), &[&group[..], &delay, &record].concat()));
+            let (known, free) = e.free_circuits.map_or((0.0, 0.0), |free| (1.0, free));
+            let unanswered = f64::from(u8::from(e.delay_unanswered));
+            let group = [known, free, e.total_circuits, e.full_at];
+            let delay =
+                [e.delay, e.delay_at, unanswered, e.min_setup_ms, e.answered_sent_at, e.last_answer_at];
+            let record = [e.carried, e.cranked_back, e.usual_rate, e.started_ms];
+            rows.push(row("exchange", Some(*id), &[&group[..], &delay, &record].concat()));
         }
-        for (number, (rate, at)) in &self.rates {
-            all.push(belief("rate", None, &[f64::from(*number), *rate, *at]));
+        for (number, (rate, at)) in &self.send_rates {
+            rows.push(row("rate", None, &[f64::from(*number), *rate, *at]));
         }
         for ((tandem, dest), leg) in &self.legs {
-            let carried = f64::from(u8::from(leg.carried));
+            let has_carried = f64::from(u8::from(leg.has_carried));
             let (tandem, dest) = (f64::from(*tandem), f64::from(*dest));
-            all.push(belief("leg", None, &[tandem, dest, leg.full_until, leg.absent_until, carried]));
+            rows.push(row("leg", None, &[tandem, dest, leg.full_until, leg.absent_until, has_carried]));
         }
-        for (key, until) in &self.gapped {
-            let [high, low] = halves(*key);
-            all.push(belief("gap", None, &[high, low, *until]));
+        for (called_number, until) in &self.gapped_until {
+            let [high, low] = halves(*called_number);
+            rows.push(row("gap", None, &[high, low, *until]));
         }
-        // Never heard of, so no moment at all: not all texts can hold such a figure, and the default says the same.
-        all.iter_mut().flat_map(|b| &mut b.values).for_each(|v| *v = v.clamp(-1e300, 1e300));
-        all
+        // f64::MIN and f64::MAX stand for "never". Not every text format can hold them, and the receiver reads the
+        // clamped values as the same.
+        rows.iter_mut().flat_map(|r| &mut r.values).for_each(|v| *v = v.clamp(-1e300, 1e300));
+        rows
     }
 
-    /// How long a set-up to this exchange is expected to take until its answer, in ms.
+    /// Expected time from a set-up to this exchange until its answer, in ms.
     pub fn expected_delay_ms(&self, id: ExchangeId) -> f64 {
-        self.expected(id)
+        self.expected_setup_ms(id)
     }
 
-    /// Goes on from something that another process has learned; what makes no sense is passed over.
-    pub fn apply_learned(&mut self, belief: &LearnedValues) {
-        if belief.values.iter().any(|value| !value.is_finite()) {
+    /// Takes over values that another process has learned; invalid ones are ignored.
+    pub fn apply_learned(&mut self, learned: &LearnedValues) {
+        if learned.values.iter().any(|value| !value.is_finite()) {
             return;
         }
         let number = |value: f64| value as Number;
-        match (belief.topic.as_str(), belief.exchange, &belief.values[..]) {
-            ("common", _, [common, at, ..]) => (self.common, self.common_at) = (common.max(0.0), *at),
+        match (learned.topic.as_str(), learned.exchange, &learned.values[..]) {
+            ("common", _, [delay, at, ..]) => {
+                (self.common_delay, self.common_delay_at) = (delay.max(0.0), *at);
+            }
             ("exchange", Some(id), [known, free, total, full_at, rest @ ..]) => {
                 let Some(exchange) = self.exchanges.get_mut(&id) else { return };
-                exchange.free = (*known > 0.0).then_some(*free);
-                (exchange.total, exchange.full_at) = (*total, *full_at);
-                if let [delay, delay_at, in_vain, floor, answered, answered_at, record @ ..] = rest {
+                exchange.free_circuits = (*known > 0.0).then_some(*free);
+                (exchange.total_circuits, exchange.full_at) = (*total, *full_at);
+                if let [delay, delay_at, unanswered, min_setup_ms, sent_at, answer_at, record @ ..] = rest {
                     (exchange.delay, exchange.delay_at) = (delay.max(0.0), *delay_at);
-                    (exchange.in_vain, exchange.floor) = (*in_vain > 0.0, floor_of(*floor));
-                    (exchange.answered, exchange.answered_at) = (*answered, *answered_at);
-                    adopt_record(exchange, record);
+                    (exchange.delay_unanswered, exchange.min_setup_ms) =
+                        (*unanswered > 0.0, min_setup_from(*min_setup_ms));
+                    (exchange.answered_sent_at, exchange.last_answer_at) = (*sent_at, *answer_at);
+                    apply_record(exchange, record);
                 }
             }
             ("rate", _, [exchange, rate, at, ..]) => {
-                self.rates.insert(number(*exchange), (rate.max(0.0), *at));
+                self.send_rates.insert(number(*exchange), (rate.max(0.0), *at));
             }
-            ("leg", _, [tandem, dest, full_until, absent_until, carried, ..]) => {
+            ("leg", _, [tandem, dest, full_until, absent_until, has_carried, ..]) => {
                 let (full_until, absent_until) = (*full_until, *absent_until);
-                let leg = Leg { told: None, full_until, absent_until, carried: *carried > 0.0 };
+                let leg = Leg { reported: None, full_until, absent_until, has_carried: *has_carried > 0.0 };
                 self.legs.insert((number(*tandem), number(*dest)), leg);
             }
             ("gap", _, [high, low, until, ..]) => {
-                self.gapped.insert(((*high as u64) << 32) | *low as u64, *until);
+                self.gapped_until.insert(((*high as u64) << 32) | *low as u64, *until);
             }
             _ => {}
         }
     }
 }
 
-/// The shortest set-up time, if there was one.
-fn floor_of(value: f64) -> f64 {
+/// A shortest set-up time as received: from 1e300 on it means that there is none yet.
+fn min_setup_from(value: f64) -> f64 {
     if value >= 1e300 { f64::MAX } else { value }
 }
 
-fn adopt_record(exchange: &mut Exchange, record: &[f64]) {
-    let [carried, turned_back, usual, born, ..] = record else { return };
-    (exchange.carried, exchange.turned_back) = (*carried, *turned_back);
-    if exchange.born == *born {
-        // The credit of a cold one is the other process's to spend: this one begins with none.
-        (exchange.usual, exchange.credit) = (*usual, 0.0);
+fn apply_record(exchange: &mut Exchange, record: &[f64]) {
+    let [carried, cranked_back, usual_rate, started_ms, ..] = record else { return };
+    (exchange.carried, exchange.cranked_back) = (*carried, *cranked_back);
+    if exchange.started_ms == *started_ms {
+        // The other process spends its own credit for a cold exchange, so this process starts with none.
+        (exchange.usual_rate, exchange.cold_credit) = (*usual_rate, 0.0);
     }
 }
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -381,5 +381,5 @@
     let batch = Batch::new().to(2).record(1090, &[&[1; 8], &[0; 4], &length]).tail(text.as_bytes());
     let (code, _, error) = drill(&batch.frame(5.0));
     assert_eq!(code, Some(1));
-    assert!(error.contains("try limit"), "{error}");
+    assert!(error.contains("attempt limit"), "{error}");
 }
