--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! Shared by the tests: settings of an invented deployment.
+//! Helpers of the tests of the decision module: settings of a made-up deployment, and a host of one controller.
 #![allow(dead_code)]
 
 use swiftlb::interface::Settings;
 use swiftlb::wire::read_settings;
 
-/// Settings as the wire words them.
+/// Settings in the text form of the simulator's protocol.
 pub fn settings_text() -> String {
     "balancers=4\n\
      classes.count=3\n\
@@ -27,9 +27,9 @@
         .to_owned()
 }
 
-/// The same, read.
+/// These settings, parsed.
 pub fn settings() -> Settings {
-    read_settings(&settings_text()).expect("the settings are well formed")
+    read_settings(&settings_text()).expect("the settings can be parsed")
 }
 
 use swiftlb::Controller;
@@ -38,106 +38,117 @@
     Reason,
 };
 
-/// Seeds that a test of a random choice is repeated with.
-pub const ROUNDS: u64 = 12;
+/// Number of seeds that a test of a random choice is repeated with.
+pub const SEEDS: u64 = 12;
 
-/// Start of time in the tests, in ms: nothing may depend on a clock that begins at 0.
-pub const START: f64 = 1_000_000.0;
+/// Time at which the tests start, in ms: nothing may depend on a clock that starts at 0.
+pub const START_MS: f64 = 1_000_000.0;
 
-/// A host of one controller, exchange 0 of a mesh.
+/// A host of one controller, whose home is exchange 0 of a mesh.
 pub struct Host {
     pub settings: Settings,
     pub controller: Controller,
     pub now: f64,
 }
 
-/// What the controller asked for.
+/// The actions that the controller requested for one event.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     pub actions: Vec<Action>,
 }
 
-impl Answer {
-    /// Number of the exchange that a call was sent to.
+impl Response {
+    /// Number of the exchange that a set-up was sent to, if any.
     pub fn sent_to(&self) -> Option<Number> {
         self.actions.iter().find_map(|action| match action {
-            Action::Send { exchange, .. } => Some(number(*exchange)),
+            Action::Send { exchange, .. } => Some(number_of(*exchange)),
             _ => None,
         })
     }
 }
 
-pub fn place(number: Number) -> ExchangeId {
+pub fn exchange_id(number: Number) -> ExchangeId {
     ExchangeId { address: [10, 0, 0, number as u8], port: 5_060 }
 }
 
-pub fn number(id: ExchangeId) -> Number {
+pub fn number_of(id: ExchangeId) -> Number {
     Number::from(id.address[3])
 }
 
-pub fn listed(number: Number, readiness: Readiness, started_ms: f64) -> ListedExchange {
-    ListedExchange { id: place(number), number, zone: 0, started_ms, readiness }
+pub fn list_entry(number: Number, readiness: Readiness, started_ms: f64) -> ListedExchange {
+    ListedExchange { id: exchange_id(number), number, zone: 0, started_ms, readiness }
 }
 
 impl Host {
-    /// A mesh of this many exchanges, all ready for long, no group heard of yet.
+    /// A controller in a mesh of this many exchanges, all started long ago, with no group reported yet.
     pub fn mesh(exchanges: Number, seed: u64) -> Self {
         let settings = settings();
-        let controller = Controller::new(settings.clone(), seed).expect("the settings make sense");
-        let mut host = Self { settings, controller, now: START };
-        let entries = (0..exchanges).map(|n| listed(n, Readiness::Ready, 0.0)).collect();
-        host.event(Event::List { kind: ListUpdateKind::Cached, entries });
+        let controller = Controller::new(settings.clone(), seed).expect("the settings are valid");
+        let mut host = Self { settings, controller, now: START_MS };
+        let entries = (0..exchanges).map(|n| list_entry(n, Readiness::Ready, 0.0)).collect();
+        host.handle(Event::List { kind: ListUpdateKind::Cached, entries });
         host
     }
 
-    /// A new controller with other settings, told of four exchanges.
-    pub fn restart(&mut self, settings: Settings, seed: u64) -> Answer {
-        self.restart_with(settings, seed, 4)
+    /// Replaces the controller by a new one with other settings and a list of four exchanges.
+    pub fn restart(&mut self, settings: Settings, seed: u64) -> Response {
+        self.restart_with_exchanges(settings, seed, 4)
     }
 
-    /// The same, told of this many exchanges.
-    pub fn restart_with(&mut self, settings: Settings, seed: u64, exchanges: Number) -> Answer {
-        self.controller = Controller::new(settings.clone(), seed).expect("the settings make sense");
+    /// Replaces the controller by a new one with other settings and a list of this many exchanges.
+    pub fn restart_with_exchanges(&mut self, settings: Settings, seed: u64, exchanges: Number) -> Response {
+        self.controller = Controller::new(settings.clone(), seed).expect("the settings are valid");
         self.settings = settings;
-        let entries = (0..exchanges).map(|n| listed(n, Readiness::Ready, 0.0)).collect();
-        self.event(Event::List { kind: ListUpdateKind::Cached, entries })
+        let entries = (0..exchanges).map(|n| list_entry(n, Readiness::Ready, 0.0)).collect();
+        self.handle(Event::List { kind: ListUpdateKind::Cached, entries })
     }
 
-    pub fn event(&mut self, event: Event) -> Answer {
+    pub fn handle(&mut self, event: Event) -> Response {
         let mut actions = Vec::new();
         self.controller.handle(self.now, event, &mut actions);
-        Answer { actions }
+        Response { actions }
     }
 
-    pub fn pass(&mut self, ms: f64) {
+    pub fn advance(&mut self, ms: f64) {
         self.now += ms;
     }
 
-    pub fn free(&mut self, to: Number, free: f64, total: f64) {
+    /// Reports the free and total circuits of the group to this exchange.
+    pub fn report_free_circuits(&mut self, to: Number, free: f64, total: f64) {
         let report = Some(vec![free, total, -1.0]);
-        self.event(Event::ProbeResult { exchange: place(to), answered: true, elapsed_ms: 0.0, report });
+        self.handle(Event::ProbeResult {
+            exchange: exchange_id(to),
+            answered: true,
+            elapsed_ms: 0.0,
+            report,
+        });
     }
 
-    pub fn list(&mut self, to: Number, readiness: Readiness, started_ms: f64) {
-        self.event(Event::List {
+    /// Delivers a list update with this one entry.
+    pub fn update_list(&mut self, to: Number, readiness: Readiness, started_ms: f64) {
+        self.handle(Event::List {
             kind: ListUpdateKind::Changes,
-            entries: vec![listed(to, readiness, started_ms)],
+            entries: vec![list_entry(to, readiness, started_ms)],
         });
     }
 
-    pub fn hear(&mut self, from: u32, bytes: &[u8]) {
-        self.event(Event::PeerMessage { from, bytes: bytes.to_vec() });
+    /// Delivers a message of a peer agent.
+    pub fn receive(&mut self, from: u32, bytes: &[u8]) {
+        self.handle(Event::PeerMessage { from, bytes: bytes.to_vec() });
     }
 
-    pub fn call(&mut self, call: CallId, class: usize, dest: Number) -> Answer {
+    /// Offers a call of an own caller.
+    pub fn offer_call(&mut self, call: CallId, class: usize, dest: Number) -> Response {
         self.offer(call, class, dest, None, 0)
     }
 
-    pub fn transit(&mut self, call: CallId, class: usize, dest: Number, from: Number) -> Answer {
+    /// Offers a call in transit from another exchange.
+    pub fn offer_transit_call(&mut self, call: CallId, class: usize, dest: Number, from: Number) -> Response {
         self.offer(call, class, dest, Some(from), 0)
     }
 
-    pub fn call_number(&mut self, call: CallId, dest: Number, called: u64) -> Answer {
+    /// Offers a call of class 0 to this number called.
+    pub fn offer_call_to_number(&mut self, call: CallId, dest: Number, called: u64) -> Response {
         self.offer(call, 0, dest, None, called)
     }
 
@@ -148,9 +159,9 @@
         dest: Number,
         transit_from: Option<Number>,
         called_number: u64,
-    ) -> Answer {
+    ) -> Response {
         let width = self.settings.classes[class].width;
-        self.event(Event::Call(NewCall {
+        self.handle(Event::Call(NewCall {
             call,
             class,
             tenant: 0,
@@ -165,20 +176,22 @@
         }))
     }
 
-    pub fn stands(&mut self, call: CallId, to: Number, elapsed_ms: f64) {
-        self.event(Event::Answered { call, attempt: 0, exchange: place(to), elapsed_ms });
+    /// The first attempt of this call is answered.
+    pub fn answer(&mut self, call: CallId, to: Number, elapsed_ms: f64) {
+        self.handle(Event::Answered { call, attempt: 0, exchange: exchange_id(to), elapsed_ms });
     }
 
-    pub fn outcome(
+    /// The attempt ends without an answer.
+    pub fn end_attempt(
         &mut self,
         call: CallId,
         attempt: u32,
         to: Number,
         outcome: Outcome,
         reason: Reason,
-    ) -> Answer {
-        let exchange = place(to);
-        self.event(Event::AttemptEnded {
+    ) -> Response {
+        let exchange = exchange_id(to);
+        self.handle(Event::AttemptEnded {
             call,
             attempt,
             exchange,
