--- a/src/bin/swiftlb-benchlink.rs
+++ b/src/bin/swiftlb-benchlink.rs
@@ -1,7 +1,8 @@
-//! Adapter between the simulator's wire and the decision module: many controllers in one process.
+//! Adapter between the simulator's protocol and the decision module: runs many controllers in one process.
 //!
-//! Reads batches from standard input, hands each event to its instance, writes one reply a batch and flushes.
-//! A malformed frame ends the process with a message on standard error and a non-zero exit.
+//! Reads batches from standard input, passes each event to the controller of its instance, and writes and
+//! flushes one reply for each batch. A malformed frame ends the process with a message on standard error and
+//! exit status 1.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -10,7 +11,7 @@
 
 use swiftlb::Controller;
 use swiftlb::interface::Action;
-use swiftlb::wire::{Banks, Header, Message, Reply, read_batch};
+use swiftlb::wire::{ExchangeLists, Header, Message, Reply, read_batch};
 
 fn main() -> ExitCode {
     match run(io::stdin().lock(), io::stdout().lock()) {
@@ -24,7 +25,7 @@
 
 fn run(mut input: impl Read, mut output: impl Write) -> Result<(), Box<dyn Error>> {
     let mut controllers: BTreeMap<u16, Controller> = BTreeMap::new();
-    let mut banks = Banks::default();
+    let mut lists = ExchangeLists::default();
     let mut reply = Reply::default();
     let mut body = Vec::new();
     let mut actions: Vec<Action> = Vec::new();
@@ -37,11 +38,11 @@
         let header = Header::read(&raw)?;
         body.clear();
         input.by_ref().take(header.bytes.into()).read_to_end(&mut body)?;
-        let mut fault: Option<Box<dyn Error>> = None;
-        read_batch(header, &body, &mut banks, |instance, message| match message {
+        let mut start_error: Option<Box<dyn Error>> = None;
+        read_batch(header, &body, &mut lists, |instance, message| match message {
             Message::Start { seed, settings } => match Controller::new(*settings, seed) {
                 Ok(controller) => drop(controllers.insert(instance, controller)),
-                Err(error) => fault = Some(error.into()),
+                Err(error) => start_error = Some(error.into()),
             },
             Message::Stop => drop(controllers.remove(&instance)),
             Message::Event(event) => {
@@ -52,7 +53,7 @@
                 }
             }
         })?;
-        if let Some(error) = fault {
+        if let Some(error) = start_error {
             return Err(error);
         }
         output.write_all(&reply.finish())?;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! A softswitch for a mesh of exchanges: the decisions, the engine that keeps the rules, and two fronts.
+//! A softswitch for a mesh of exchanges: the decision module, the engine that runs it, and two fronts.
 #![doc = include_str!("../README.md")]
 
 pub mod config;
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -1,4 +1,5 @@
-//! The wire codec: each event and action once, each way in which a frame can be malformed, the settings.
+//! Tests of the codec of the simulator's protocol: every event and action, malformed frames, settings, and the program
+//! that speaks it.
 
 mod common;
 
@@ -7,8 +8,9 @@
 
 use common::settings_text;
 use swiftlb::interface::{Action, Event, ExchangeId, ListUpdateKind, Outcome, Readiness, Reason};
-use swiftlb::wire::{Banks, Header, Message, Reply, WireError, read_batch, read_settings};
+use swiftlb::wire::{ExchangeLists, Header, Message, Reply, WireError, read_batch, read_settings};
 
+/// Encoder of a batch.
 struct Batch {
     records: Vec<u8>,
     tail: Vec<u8>,
@@ -29,6 +31,7 @@
         self
     }
 
+    /// Selects the instance for the records that follow.
     fn to(self, instance: u16) -> Self {
         self.record(1030, &[&instance.to_le_bytes()])
     }
@@ -55,8 +58,8 @@
 fn read(frame: &[u8]) -> Result<Vec<(u16, Message)>, WireError> {
     let (head, body) = frame.split_at(Header::BYTES.min(frame.len()));
     let mut messages = Vec::new();
-    let mut banks = Banks::default();
-    read_batch(Header::read(head)?, body, &mut banks, |to, message| messages.push((to, message)))?;
+    let mut lists = ExchangeLists::default();
+    read_batch(Header::read(head)?, body, &mut lists, |to, message| messages.push((to, message)))?;
     Ok(messages)
 }
 
@@ -65,14 +68,14 @@
     (0..digits.len() / 2).map(|i| u8::from_str_radix(&digits[2 * i..2 * i + 2], 16).unwrap()).collect()
 }
 
-const PLACE: ExchangeId = ExchangeId { address: [0x0a, 0x12, 0x4a, 0x07], port: 0x1f43 };
+const EXCHANGE: ExchangeId = ExchangeId { address: [0x0a, 0x12, 0x4a, 0x07], port: 0x1f43 };
 
-fn place() -> Vec<u8> {
+fn exchange_bytes() -> Vec<u8> {
     hex("0a124a07 431f")
 }
 
 #[test]
-fn a_call_is_read_field_by_field() {
+fn every_field_of_a_call_is_decoded() {
     let fields = hex(
         "c4913a5d 0000000000002840 0900 0100 640ad2557c3bf091 02 00008043 00000040 0000000000006e40 00006442",
     );
@@ -86,7 +89,7 @@
 }
 
 #[test]
-fn outcomes_carry_reason_and_report() {
+fn the_end_of_an_attempt_carries_reason_and_load_report() {
     let fields = hex(
         "c4913a5d 02 0a124a07 431f f701 0000000000803240 00 33010000 03 cdcccc3e 0000a03f 00006841 00000000",
     );
@@ -109,7 +112,7 @@
     else {
         panic!("{got:?}")
     };
-    assert_eq!((*attempt, *exchange, *outcome, *call_closed), (2, PLACE, Outcome::Congested, false));
+    assert_eq!((*attempt, *exchange, *outcome, *call_closed), (2, EXCHANGE, Outcome::Congested, false));
     assert_eq!((*reason, *elapsed_ms), (Reason::ProcessorFull(19.0), 18.5));
     assert_eq!(report.as_ref().map(Vec::len), Some(3));
 }
@@ -136,7 +139,7 @@
 }
 
 #[test]
-fn lists_are_resolved_by_event_order() {
+fn a_list_event_refers_to_the_list_last_sent_before_it() {
     let entry = |state: &str| hex(&format!("0000000000d4b740 0000c03f 0000 0000 {state} 0700 0a124a07 431f"));
     let got = Batch::new()
         .to(1)
@@ -165,28 +168,31 @@
         ]
     );
     let Message::Event(Event::List { entries, .. }) = &got[0].1 else { unreachable!() };
-    assert_eq!((entries[0].id, entries[0].number, entries[0].started_ms), (PLACE, 7, 6100.0));
+    assert_eq!((entries[0].id, entries[0].number, entries[0].started_ms), (EXCHANGE, 7, 6100.0));
 }
 
 #[test]
-fn the_other_events_are_read() {
+fn the_other_events_are_decoded() {
     let got = Batch::new()
         .to(9)
-        .record(1040, &[&7u32.to_le_bytes(), &[1], &place(), &9.25f64.to_le_bytes()])
+        .record(1040, &[&7u32.to_le_bytes(), &[1], &exchange_bytes(), &9.25f64.to_le_bytes()])
         .record(1050, &[&7u32.to_le_bytes()])
         .record(1000, &[&0x4du64.to_le_bytes()])
-        .record(1110, &[&0f64.to_le_bytes(), &place(), &200u16.to_le_bytes(), &[1], &5f32.to_le_bytes()])
+        .record(
+            1110,
+            &[&0f64.to_le_bytes(), &exchange_bytes(), &200u16.to_le_bytes(), &[1], &5f32.to_le_bytes()],
+        )
         .record(1060, &[&2u32.to_le_bytes(), &0u32.to_le_bytes(), &4u32.to_le_bytes()])
         .record(1020, &[])
         .tail(b"hi C")
         .read()
         .unwrap();
     let want = [
-        Message::Event(Event::Answered { call: 7, attempt: 1, exchange: PLACE, elapsed_ms: 9.25 }),
+        Message::Event(Event::Answered { call: 7, attempt: 1, exchange: EXCHANGE, elapsed_ms: 9.25 }),
         Message::Event(Event::Abandoned { call: 7 }),
         Message::Event(Event::TimerExpired { tag: 0x4d }),
         Message::Event(Event::ProbeResult {
-            exchange: PLACE,
+            exchange: EXCHANGE,
             answered: true,
             elapsed_ms: 0.0,
             report: Some(vec![5.0]),
@@ -198,13 +204,13 @@
 }
 
 #[test]
-fn replies_have_the_layout_of_the_wire() {
+fn replies_have_the_layout_of_the_protocol() {
     let mut reply = Reply::default();
     assert_eq!(reply.finish(), [0; 8]);
     reply.push(
         3,
         &[
-            Action::Send { call: 0x5d3a_91c4, exchange: PLACE, timeout_ms: 80.0 },
+            Action::Send { call: 0x5d3a_91c4, exchange: EXCHANGE, timeout_ms: 80.0 },
             Action::SetTimer { delay_ms: 500.0, tag: 0x4d },
         ],
     );
@@ -224,7 +230,7 @@
             Action::Refuse { call: 1, retry_after_ms: 250.0 },
             Action::Fail { call: 2 },
             Action::Cancel { call: 3, attempt: 4 },
-            Action::Probe { exchange: PLACE },
+            Action::Probe { exchange: EXCHANGE },
             Action::SendPeerMessage { to: None, bytes: vec![1, 2, 3] },
             Action::SendPeerMessage { to: Some(2), bytes: vec![9] },
             Action::Subscribe,
@@ -246,7 +252,7 @@
 }
 
 #[test]
-fn malformed_frames_are_errors() {
+fn malformed_frames_are_rejected() {
     let cases: Vec<(&str, Vec<u8>)> = vec![
         ("short header", vec![0; 10]),
         ("records beyond the length", {
@@ -259,18 +265,18 @@
             frame.pop();
             frame
         }),
-        ("clock not a number", Batch::new().frame(f64::NAN)),
-        ("unknown event", Batch::new().to(1).record(1234, &[]).frame(1.0)),
-        ("event before any TO", Batch::new().record(1020, &[]).frame(1.0)),
-        ("unknown completion code", Batch::new().to(1).record(1100, &[&[0; 11], &[1, 1]]).frame(1.0)),
-        ("unknown kind of list", Batch::new().to(1).record(1010, &[&[0, 0, 0, 0, 7]]).frame(1.0)),
-        ("no such census", Batch::new().to(1).record(1010, &[&[3, 0, 0, 0, 0]]).frame(1.0)),
+        ("time not a number", Batch::new().frame(f64::NAN)),
+        ("unknown record", Batch::new().to(1).record(1234, &[]).frame(1.0)),
+        ("record before any instance was selected", Batch::new().record(1020, &[]).frame(1.0)),
+        ("unknown outcome", Batch::new().to(1).record(1100, &[&[0; 11], &[1, 1]]).frame(1.0)),
+        ("unknown kind of list update", Batch::new().to(1).record(1010, &[&[0, 0, 0, 0, 7]]).frame(1.0)),
+        ("list that was not sent", Batch::new().to(1).record(1010, &[&[3, 0, 0, 0, 0]]).frame(1.0)),
         (
-            "census outside the tail",
+            "list outside the tail",
             Batch::new().record(1070, &[&hex("00000000 00000000 01000000")]).frame(1.0),
         ),
         (
-            "census count that overflows",
+            "number of list entries that overflows",
             Batch::new().record(1070, &[&hex("00000000 ffffffff ffffffff")]).frame(1.0),
         ),
         (
@@ -282,21 +288,21 @@
             Batch::new().to(1).record(1060, &[&hex("02000000 01000000 04000000")]).frame(1.0),
         ),
         (
-            "report too long",
+            "load report too long",
             Batch::new().to(1).record(1110, &[&[0; 14], &200u16.to_le_bytes(), &[5]]).frame(1.0),
         ),
         (
-            "settings not text",
+            "settings not valid UTF-8",
             Batch::new().to(1).record(1090, &[&[0; 8], &hex("00000000 01000000")]).tail(&[0xff]).frame(1.0),
         ),
     ];
     for (what, frame) in cases {
-        assert!(read(&frame).is_err(), "{what} was read");
+        assert!(read(&frame).is_err(), "{what} was accepted");
     }
 }
 
 #[test]
-fn settings_are_read_and_bad_ones_name_their_key() {
+fn settings_are_parsed_and_errors_name_the_key() {
     let text = settings_text();
     let settings = read_settings(&text).unwrap();
     assert_eq!((settings.agent_count, settings.home, settings.classes.len()), (4, Some(0), 3));
@@ -314,7 +320,7 @@
     }
 }
 
-fn drill(input: &[u8]) -> (Option<i32>, Vec<u8>, String) {
+fn run_benchlink(input: &[u8]) -> (Option<i32>, Vec<u8>, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_swiftlb-benchlink"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -322,7 +328,7 @@
         .spawn()
         .unwrap();
     let mut stdin = child.stdin.take().unwrap();
-    // The drill may stop reading at the first fault, so a broken pipe is no failure of the test.
+    // The program may stop reading at the first error, so a broken pipe is no failure of the test.
     let _ = stdin.write_all(input);
     drop(stdin);
     let out = child.wait_with_output().unwrap();
@@ -330,15 +336,15 @@
 }
 
 #[test]
-fn the_drill_answers_each_batch_and_stops_at_end_of_input() {
-    assert_eq!(drill(&[]), (Some(0), Vec::new(), String::new()));
+fn benchlink_replies_to_each_batch_and_ends_at_the_end_of_input() {
+    assert_eq!(run_benchlink(&[]), (Some(0), Vec::new(), String::new()));
     let empty = Batch::new().frame(60_000.0);
-    let (code, out, _) = drill(&[empty.clone(), empty].concat());
+    let (code, out, _) = run_benchlink(&[empty.clone(), empty].concat());
     assert_eq!((code, out), (Some(0), vec![0; 16]));
 }
 
 #[test]
-fn the_drill_restarts_an_instance_in_one_batch() {
+fn benchlink_restarts_an_instance_within_one_batch() {
     let text = settings_text();
     let length = (text.len() as u32).to_le_bytes();
     let start: Vec<&[u8]> = vec![&[1; 8], &[0; 4], &length];
@@ -353,33 +359,33 @@
         .record(1090, &start)
         .record(1080, &[&call])
         .tail(text.as_bytes());
-    let (code, out, error) = drill(&batch.frame(5.0));
+    let (code, out, error) = run_benchlink(&batch.frame(5.0));
     assert_eq!(code, Some(0), "{error}");
     let codes: Vec<u16> = out[8..].chunks(24).map(|r| u16::from_le_bytes([r[0], r[1]])).collect();
     assert_eq!(
         codes.iter().filter(|code| **code == 1010).count(),
         1,
-        "one refusal, from the second life: {codes:?}"
+        "one refusal, from the instance started last: {codes:?}"
     );
 }
 
 #[test]
-fn the_drill_reports_malformed_input_and_fails() {
+fn benchlink_reports_malformed_input_and_fails() {
     let good = Batch::new().frame(1.0);
     for bad in [vec![1, 2, 3], Batch::new().to(1).record(4321, &[]).frame(2.0), {
         let mut cut = Batch::new().to(1).frame(2.0);
         cut.truncate(30);
         cut
     }] {
-        let (code, out, error) = drill(&[good.clone(), bad].concat());
+        let (code, out, error) = run_benchlink(&[good.clone(), bad].concat());
         assert_eq!(code, Some(1));
-        assert_eq!(out, vec![0; 8], "the good batch is answered, the bad one is not");
+        assert_eq!(out, vec![0; 8], "the valid batch gets a reply, the malformed one does not");
         assert!(error.starts_with("swiftlb-benchlink: ") && !error.contains("panicked"), "{error}");
     }
     let text = settings_text().replace("policyLimits.tryLimit=5", "policyLimits.tryLimit=0");
     let length = (text.len() as u32).to_le_bytes();
     let batch = Batch::new().to(2).record(1090, &[&[1; 8], &[0; 4], &length]).tail(text.as_bytes());
-    let (code, _, error) = drill(&batch.frame(5.0));
+    let (code, _, error) = run_benchlink(&batch.frame(5.0));
     assert_eq!(code, Some(1));
     assert!(error.contains("attempt limit"), "{error}");
 }
