--- a/src/decide.rs
+++ b/src/decide.rs
@@ -33,8 +33,8 @@
 /// Factor on the record of a tandem outside the destination's zone. Traffic is heavier inside a zone, so an
 /// exchange has groups to exchanges of other zones less often.
 const OTHER_ZONE_FACTOR: f64 = 0.7;
-/// Circuits beyond its width that must be free on the onward group for a call in transit (the design's
-/// reserve).
+/// Circuits beyond its width that must be free on the onward group for a call in transit (the reserve of the
+/// design). A call over a tandem leaves them free on the second leg, and overflow on the first leg too.
 const TRANSIT_RESERVE_CIRCUITS: f64 = 2.0;
 /// Time for which a peer's report of its free circuits is valid, in ms (given by the design).
 const LEG_REPORT_VALID_MS: f64 = 10_000.0;
@@ -47,6 +47,10 @@
 const DELAY_HALF_LIFE_MS: f64 = 1_000.0;
 /// Weight of a new set-up time in the running delay of an exchange: a few calls outweigh one outlier.
 const DELAY_WEIGHT: f64 = 0.4;
+/// The same weight for a set-up time that is shorter than a delay learned from an attempt without an answer.
+const RECOVERY_DELAY_WEIGHT: f64 = 0.7;
+/// Lowest delay after an exchange reported a full processor, in target set-up times of the call.
+const FULL_PROCESSOR_DELAY_TARGETS: f64 = 2.0;
 /// Weight of a set-up time in the common delay where the set-up time is longer than that delay.
 const COMMON_DELAY_RISE_WEIGHT: f64 = 0.03;
 /// Weight of a set-up time in the common delay where the set-up time is not longer than that delay.
@@ -72,11 +76,14 @@
 /// is stuck, not that the own processor is loaded.
 const STUCK_ATTEMPT_MS: f64 = 1_000.0;
 /// Shortest time between two trial calls to an exchange that has answered nothing for long, in ms; doubled
-/// after each of the first four trials. A trial costs little, because the call would be refused otherwise,
+/// after each trial. A trial costs little, because the call would be refused otherwise,
 /// and nothing else shows that the exchange answers again.
 const MIN_TRIAL_INTERVAL_MS: f64 = 100.0;
-/// Shortest and longest time after which an answer counts as lost, in ms. In between, three times the usual
-/// set-up time applies.
+/// Maximum number of trials that double the interval between trial calls.
+const MAX_TRIAL_DOUBLINGS: u32 = 4;
+/// Time after which an answer counts as lost, in running set-up times of the exchange.
+const LOST_ANSWER_SETUP_TIMES: f64 = 3.0;
+/// Shortest and longest time after which an answer counts as lost, in ms.
 const LOST_ANSWER_RANGE_MS: (f64, f64) = (350.0, 2_500.0);
 /// Time constant of the send rates, in ms: it covers several calls per exchange and is much shorter than the
 /// time in which traffic shifts.
@@ -92,7 +99,7 @@
 /// Value in a message to the peers for a number that the sender has no group to. Values below
 /// `UNKNOWN_GROUP` are numbers of free circuits.
 const NO_GROUP: u8 = 255;
-/// Value in a message to the peers for a number to which the sender does not know its group.
+/// Value in a message to the peers for a number whose group has not been reported to the sender yet.
 const UNKNOWN_GROUP: u8 = 254;
 /// Time after which an exchange that is not ready is removed from the state, in ms.
 const NOT_READY_RETENTION_MS: f64 = 60_000.0;
@@ -147,7 +154,7 @@
     attempts: u32,
     /// Exchanges that it is not sent to again.
     excluded: BTreeSet<ExchangeId>,
-    /// Whether an attempt may have been executed at the exchange although it did not succeed.
+    /// Whether an attempt that ended may have been executed by its exchange.
     may_have_run: bool,
     phase: Phase,
 }
@@ -193,7 +200,8 @@
     delay: f64,
     /// When the delay was last updated.
     delay_at: f64,
-    /// Whether the delay comes from an attempt that ended without an answer: the next answer replaces it.
+    /// Whether the delay comes from an attempt that ended without an answer. The next shorter set-up time
+    /// then has a higher weight.
     delay_unanswered: bool,
     /// When the last attempt was sent there.
     last_sent_at: f64,
@@ -276,7 +284,7 @@
 
     /// Time after which a missing answer counts as lost, in ms.
     fn lost_answer_ms(&self) -> f64 {
-        (3.0 * self.delay).clamp(LOST_ANSWER_RANGE_MS.0, LOST_ANSWER_RANGE_MS.1)
+        (LOST_ANSWER_SETUP_TIMES * self.delay).clamp(LOST_ANSWER_RANGE_MS.0, LOST_ANSWER_RANGE_MS.1)
     }
 }
 
@@ -297,7 +305,7 @@
     now: f64,
     /// Whether the maintenance has been started.
     started: bool,
-    /// Whether a subscription to the list is requested and not known to be broken.
+    /// Whether a subscription to the list has been requested and is not known to be broken.
     subscribed: bool,
     /// When the last subscription was requested.
     subscribed_at: f64,
@@ -488,8 +496,9 @@
         actions.push(Action::Send { call: id, exchange: to, timeout_ms: call.deadline - now });
     }
 
-    /// Removes an attempt from the open ones of its exchange and learns from its duration. The duration of an
-    /// attempt without an answer counts only if no attempt sent later was answered meanwhile.
+    /// Removes an attempt from the open ones of its exchange and learns from its duration. `answered` says
+    /// whether the exchange responded, be it with a refusal. The duration counts only if no attempt that was
+    /// sent later was answered meanwhile.
     fn close_attempt(&mut self, id: CallId, at: ExchangeId, elapsed_ms: f64, answered: bool) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(&at) else { return };
@@ -503,8 +512,11 @@
         if counts && elapsed_ms.is_finite() {
             let common = decayed_delay(self.common_delay, now - self.common_delay_at);
             let old = common + decayed_delay(exchange.delay - common, now - exchange.delay_at);
-            let weight =
-                if answered && exchange.delay_unanswered && elapsed_ms < old { 0.7 } else { DELAY_WEIGHT };
+            let weight = if answered && exchange.delay_unanswered && elapsed_ms < old {
+                RECOVERY_DELAY_WEIGHT
+            } else {
+                DELAY_WEIGHT
+            };
             exchange.delay = old + weight * (elapsed_ms - old);
             exchange.delay_unanswered = !answered;
             exchange.delay_at = now;
@@ -541,7 +553,7 @@
         call_closed: bool,
         actions: &mut Vec<Action>,
     ) {
-        self.close_unanswered_attempt(id, at, outcome, elapsed_ms);
+        self.close_failed_attempt(id, at, outcome, elapsed_ms);
         let Some(call) = self.calls.get_mut(&id) else { return };
         if call_closed {
             return self.drop_call(id);
@@ -565,16 +577,16 @@
         if let Some(exchange) = self.exchanges.get_mut(&at) {
             exchange.correct_free_circuits(outcome, reason, width);
             if let Reason::ProcessorFull(wait) = reason {
-                exchange.delay = exchange.delay.max(wait).max(2.0 * target_setup_ms);
+                exchange.delay = exchange.delay.max(wait).max(FULL_PROCESSOR_DELAY_TARGETS * target_setup_ms);
                 exchange.delay_at = self.now;
             }
         }
         self.continue_call(id, outcome, reason, actions);
     }
 
-    /// Removes an attempt that was not answered with a call from the open ones, and learns from its duration
-    /// if that shows the delay of a processor.
-    fn close_unanswered_attempt(&mut self, id: CallId, at: ExchangeId, outcome: Outcome, elapsed_ms: f64) {
+    /// Removes an attempt that did not establish its call from the open ones, and learns from its duration if
+    /// that shows the delay of a processor.
+    fn close_failed_attempt(&mut self, id: CallId, at: ExchangeId, outcome: Outcome, elapsed_ms: f64) {
         let was_open = self.exchanges.get(&at).is_some_and(|e| e.open_attempts.contains_key(&id));
         // A connection that is refused takes no time, and one that breaks does so at any time: neither shows
         // the delay of a processor.
@@ -643,6 +655,7 @@
         }
     }
 
+    /// Forgets a call that needs no final answer.
     fn drop_call(&mut self, id: CallId) {
         if let Some(Call { phase: Phase::Attempting { to }, .. }) = self.calls.remove(&id)
             && let Some(exchange) = self.exchanges.get_mut(&to)
@@ -861,8 +874,8 @@
     /// circuits as a narrow call of low worth, not earlier.
     fn worth_reserve(&self, call: &Call, to: ExchangeId) -> f64 {
         let short = self.exchanges.get(&to).is_some_and(|e| self.now - e.full_at < SHORT_GROUP_MS);
-        let value = circuit_value(&self.settings.classes[call.class]) / self.max_circuit_value;
-        let kept = (MAX_WORTH_RESERVE_CIRCUITS * (1.0 - value)).round() - (call.width - 1.0);
+        let relative_value = circuit_value(&self.settings.classes[call.class]) / self.max_circuit_value;
+        let kept = (MAX_WORTH_RESERVE_CIRCUITS * (1.0 - relative_value)).round() - (call.width - 1.0);
         if short { kept.max(0.0) } else { 0.0 }
     }
 
@@ -900,11 +913,11 @@
     /// shed, calls of low worth first.
     fn admits(&self, call: &Call, route: &[ExchangeId]) -> bool {
         let class = &self.settings.classes[call.class];
-        let rank = class.worth / self.max_worth;
-        let patience = class.target_setup_ms.min(call.deadline - self.now);
-        let max_wait = patience
+        let relative_worth = class.worth / self.max_worth;
+        let time_for_setup = class.target_setup_ms.min(call.deadline - self.now);
+        let max_wait = time_for_setup
             * (MAX_WAIT_FRACTION_NO_WORTH
-                + (MAX_WAIT_FRACTION_TOP_WORTH - MAX_WAIT_FRACTION_NO_WORTH) * rank);
+                + (MAX_WAIT_FRACTION_TOP_WORTH - MAX_WAIT_FRACTION_NO_WORTH) * relative_worth);
         // Only the wait beyond the shortest set-up time counts. Otherwise a healthy exchange whose path alone
         // takes a large part of the target set-up time would be shed because of its distance.
         let wait = |to: &ExchangeId| {
@@ -922,7 +935,7 @@
         let lost_answer_ms = exchange.lost_answer_ms();
         let stuck = exchange.delay_unanswered
             || self.now - exchange.oldest_open_attempt_at(self.now) >= lost_answer_ms;
-        let interval_ms = MIN_TRIAL_INTERVAL_MS * f64::from(1 << exchange.trials.min(4));
+        let interval_ms = MIN_TRIAL_INTERVAL_MS * f64::from(1 << exchange.trials.min(MAX_TRIAL_DOUBLINGS));
         stuck
             && self.now - exchange.last_answer_at >= lost_answer_ms
             && self.now - exchange.last_sent_at >= interval_ms
@@ -944,14 +957,14 @@
             + (1.0 - self.settings.cold_initial_capacity)
                 * (age / self.settings.cold_period_ms).clamp(0.0, 1.0);
         let others = self.send_rates.iter().filter(|(number, _)| **number != exchange.number);
-        let all: f64 = others.map(|(_, rate)| decayed_rate(*rate, self.now)).sum();
-        let equal_part = all / self.ready_by_number.len().max(1) as f64;
+        let elsewhere: f64 = others.map(|(_, rate)| decayed_rate(*rate, self.now)).sum();
+        let equal_part = elsewhere / self.ready_by_number.len().max(1) as f64;
         let usual_rate = if exchange.usual_rate > 0.0 { exchange.usual_rate } else { equal_part };
         let per_ms = COLD_BUDGET_FRACTION * self.settings.overload_factor * capacity * usual_rate
             / self.process_count
             / 1_000.0;
-        let max = (MAX_COLD_BURST_FRACTION * per_ms * self.settings.overload_duration_ms).max(1.0);
-        (exchange.cold_credit + per_ms * (self.now - exchange.cold_credit_at)).min(max)
+        let max_credit = (MAX_COLD_BURST_FRACTION * per_ms * self.settings.overload_duration_ms).max(1.0);
+        (exchange.cold_credit + per_ms * (self.now - exchange.cold_credit_at)).min(max_credit)
     }
 
     // ---- learning ----
@@ -1055,7 +1068,7 @@
         }
     }
 
-    /// What a report says of the group to the exchange with this number.
+    /// The byte that a report has for the group to the exchange with this number.
     fn group_state(&self, number: u16, home: u16) -> u8 {
         match self.ready_by_number.get(&Number::from(number)).map(|id| &self.exchanges[id]) {
             _ if number == home => NO_GROUP,
