--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -18,22 +18,22 @@
     Action, CallId, Event, ExchangeId, ListUpdateKind, ListedExchange, NewCall, Number, Outcome, Readiness,
     Reason, ReportField,
 };
-use crate::ops::{Figures, Now, OperatorReply, OperatorRequest};
+use crate::ops::{Gauges, Metrics, OperatorReply, OperatorRequest};
 
+mod exchanges;
 mod messages;
-mod notes;
-mod peers;
-mod twin;
-mod view;
+mod recording;
+mod sibling;
+mod status;
 
+use exchanges::{Conn, Peer, QUIET, Way};
 pub use messages::{
     CallUid, CallerConnId, CallerMessage, Effect, ExchangeConnId, ExchangeMessage, Front, HandoverState,
     Input, ListEntry, SetUp, SiblingMessage,
 };
-use notes::{LastEnd, Notes};
-use peers::{Conn, Peer, QUIET, Way};
+use recording::{LastEnd, Notes};
+use sibling::Role;
 use swiftlb_record::{DrainSource, Event as Recorded, FailureReason, RefusalReason, ReleasedBy};
-use twin::Role;
 
 /// A final answer that the module has not given this long after the caller's time is given for it: well
 /// inside the 50 ms that the rules allow on sockets.
@@ -91,7 +91,7 @@
 const FORGET: Duration = Duration::from_secs(30);
 
 /// Milliseconds of a span, as the module counts them.
-pub fn millis(span: Duration) -> f64 {
+pub fn duration_to_ms(span: Duration) -> f64 {
     span.as_secs_f64() * 1_000.0
 }
 
@@ -100,14 +100,14 @@
 const LONGEST_SPAN: f64 = 1e11;
 
 /// A span of the module's milliseconds; whatever is no time at all counts as zero.
-pub fn span(ms: f64) -> Duration {
+pub fn duration_from_ms(ms: f64) -> Duration {
     let seconds = if ms.is_finite() { ms / 1_000.0 } else { 0.0 };
     Duration::from_secs_f64(seconds.clamp(0.0, LONGEST_SPAN))
 }
 
 /// The module's clock: milliseconds since 1970.
 fn clock(at: SystemTime) -> f64 {
-    millis(since(UNIX_EPOCH, at))
+    duration_to_ms(since(UNIX_EPOCH, at))
 }
 
 /// Time from one moment to a later one; zero if the clock was set back between them.
@@ -251,7 +251,7 @@
     /// It was told to stop, and another process has taken its place.
     leaving: bool,
     serial: u32,
-    figures: Figures,
+    figures: Metrics,
     notes: Notes,
     /// Places of the free circuits and of the size of the group in a report.
     in_report: (Option<usize>, Option<usize>),
@@ -304,15 +304,15 @@
             twin: None,
             accepting: true,
             leaving: false,
-            serial: config.serial,
-            figures: Figures::default(),
+            serial: config.list_serial,
+            figures: Metrics::default(),
             notes: Notes::default(),
             in_report: (None, None),
             started: now,
             listed: false,
         };
         engine.configure(config);
-        engine.learn_list(config.known.clone(), ListUpdateKind::Cached, effects);
+        engine.learn_list(config.exchanges.clone(), ListUpdateKind::Cached, effects);
         engine.run_module(effects);
         Ok(engine)
     }
@@ -323,12 +323,12 @@
     }
 
     /// Calls that stand or wait, for the log.
-    pub fn calls(&self) -> usize {
+    pub fn call_count(&self) -> usize {
         self.calls.len()
     }
 
     /// Everything that it holds, counted: what must not grow for ever.
-    pub fn entries(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         let peers = self.peers.values().map(|peer| 1 + peer.releases.len()).sum::<usize>();
         let names = self.by_name.len() + self.by_peer_name.len() + self.over.len() + self.over_names.len();
         let ways = self.conns.len() + self.links.len() + self.held.len() + self.fresh.len();
@@ -401,7 +401,7 @@
             }
             Input::SiblingMessage(word) => self.hear_twin(word, effects),
             Input::SiblingDisconnected => self.lose_twin(effects),
-            Input::AttemptsWritten { attempts } => self.figures.attempted(attempts),
+            Input::AttemptsWritten { attempts } => self.figures.count_attempts(attempts),
             Input::OperatorRequest { request_id, request } => {
                 let reply = self.operate(request);
                 effects.push(Effect::ToOperator { request_id, reply });
@@ -444,10 +444,10 @@
                 let avoided =
                     |id: &ExchangeId, peer: &Peer| Some(peer.number) != self.home && self.module.avoids(*id);
                 let unavailable = listed().filter(|(id, peer)| avoided(id, peer)).count();
-                let now = Now { pending: self.calls.len(), members: listed().count(), unavailable };
-                OperatorReply::Metrics(self.figures.text(now))
+                let now = Gauges { pending: self.calls.len(), members: listed().count(), unavailable };
+                OperatorReply::Metrics(self.figures.prometheus_text(now))
             }
-            OperatorRequest::Fleet => OperatorReply::Fleet(self.fleet().json()),
+            OperatorRequest::Fleet => OperatorReply::Fleet(self.fleet().to_json()),
             OperatorRequest::DrainStart => {
                 if self.emptying.is_none() {
                     self.note_drain(true, DrainSource::Operator);
@@ -487,7 +487,7 @@
         }
         self.configure(&config);
         self.note_classes();
-        effects.push(Effect::Log(format!("configuration read again, resolver at {}", config.names)));
+        effects.push(Effect::Log(format!("configuration read again, resolver at {}", config.resolver)));
         effects.push(Effect::Reconfigure(config));
     }
 
@@ -495,13 +495,13 @@
         let set = &config.settings;
         let classes = config.classes.iter().zip(&set.classes);
         self.classes = classes.map(|((name, most), class)| (name.clone(), class.width, *most)).collect();
-        self.figures.know(config.classes.iter().map(|(name, _)| name.clone()));
+        self.figures.add_classes(config.classes.iter().map(|(name, _)| name.clone()));
         self.home = set.home;
         self.try_limit = set.attempt_limit;
-        self.release_pause = span(set.release_pause_ms);
-        self.drain_grace = span(set.drain_grace_ms);
-        self.most_wait = span(set.max_retry_after_ms);
-        self.sockets = config.sockets;
+        self.release_pause = duration_from_ms(set.release_pause_ms);
+        self.drain_grace = duration_from_ms(set.drain_grace_ms);
+        self.most_wait = duration_from_ms(set.max_retry_after_ms);
+        self.sockets = config.max_sockets;
         let place = |field| set.report_fields.iter().position(|known| *known == field);
         self.in_report = (place(ReportField::FreeCircuits), place(ReportField::TotalCircuits));
         self.divide();
@@ -655,10 +655,14 @@
     fn act(&mut self, action: Action, effects: &mut Vec<Effect>) {
         match action {
             Action::Send { call, exchange, timeout_ms } => {
-                self.attempt(call, exchange, span(timeout_ms), effects);
+                self.attempt(call, exchange, duration_from_ms(timeout_ms), effects);
             }
             Action::Refuse { call, retry_after_ms } => {
-                self.conclude(call, CallerMessage::Refused { retry_after: span(retry_after_ms) }, effects);
+                self.conclude(
+                    call,
+                    CallerMessage::Refused { retry_after: duration_from_ms(retry_after_ms) },
+                    effects,
+                );
             }
             Action::Fail { call } => {
                 let busy = self.calls.get(&call).is_some_and(|held| held.busy);
@@ -669,7 +673,9 @@
                     self.cancel(call, effects);
                 }
             }
-            Action::SetTimer { delay_ms, tag } => self.set_timer(span(delay_ms), Timer::Module(tag)),
+            Action::SetTimer { delay_ms, tag } => {
+                self.set_timer(duration_from_ms(delay_ms), Timer::Module(tag))
+            }
             Action::Probe { exchange } => {
                 if let Some(Way::Up(exchange_conn)) = self.peers.get(&exchange).map(|peer| peer.way) {
                     self.tests = self.tests.wrapping_add(1);
@@ -708,7 +714,7 @@
         // Handsets have no front that stops sending: they are told themselves.
         let sent_away = (self.emptying.is_some() || self.leaving) && front == Front::Iax2;
         if sent_away || self.open >= MOST_OPEN || self.open_bytes + bytes > MOST_OPEN_BYTES {
-            self.figures.rejected(&setup.class);
+            self.figures.count_rejected(&setup.class);
             let why = if sent_away { RefusalReason::Draining } else { RefusalReason::TooManySetUps };
             self.note_refusal(name, why, self.most_wait);
             let message = CallerMessage::Refused { retry_after: self.most_wait };
@@ -729,7 +735,7 @@
             width: setup.width.unwrap_or(width),
             dest: setup.dest,
             called_number: setup.called_number.as_deref().map_or(0, key_number),
-            remaining_ms: millis(since(self.now, deadline)),
+            remaining_ms: duration_to_ms(since(self.now, deadline)),
             transit_from: setup.transit_from,
             advised_route: setup.advised_route,
             redial: false,
@@ -782,11 +788,11 @@
         let Some(call) = self.forget(id, effects) else { return };
         match message {
             CallerMessage::Refused { retry_after } => {
-                self.figures.rejected(&call.class);
+                self.figures.count_rejected(&call.class);
                 self.note_refused(&call, retry_after);
             }
             CallerMessage::Failed { busy } => {
-                self.figures.failed(&call.class);
+                self.figures.count_failed(&call.class);
                 match why {
                     Some(why) => self.note_failure(call.name, why),
                     None => self.note_failed(&call, busy),
@@ -1183,7 +1189,7 @@
             call.paused_until = Some(self.now + self.release_pause);
         }
         let (attempt, took) = (call.attempts - 1, since(sent, self.now));
-        let elapsed_ms = millis(took);
+        let elapsed_ms = duration_to_ms(took);
         self.note_attempt_end(id, to, (outcome, reason), took);
         self.events.push_back(Event::AttemptEnded {
             call: id,
@@ -1247,10 +1253,10 @@
         let Phase::Out { sent, .. } = call.phase else { return };
         call.phase = Phase::Standing { at: peer };
         // A call may stand for long; what only its set-up needed is given back.
-        self.figures.completed(&std::mem::take(&mut call.class));
+        self.figures.count_completed(&std::mem::take(&mut call.class));
         call.key = None;
         let asked = call.description.take();
-        let (attempt, elapsed_ms) = (call.attempts - 1, millis(since(sent, self.now)));
+        let (attempt, elapsed_ms) = (call.attempts - 1, duration_to_ms(since(sent, self.now)));
         let (caller_conn, call) = (call.caller_conn, call.name);
         self.no_longer_open(asked.as_ref());
         if let Some(caller_conn) = self.links.get_mut(&caller_conn) {
--- a/src/engine/notes.rs
+++ b/src/engine/recording.rs
@@ -84,7 +84,7 @@
 
 impl Engine {
     /// Records from now on, beginning with all that a reader has to know first.
-    pub fn record(&mut self, is_replacement: bool, effects: &mut Vec<Effect>) {
+    pub fn start_recording(&mut self, is_replacement: bool, effects: &mut Vec<Effect>) {
         self.notes.on = true;
         let version = env!("CARGO_PKG_VERSION").to_owned();
         self.note(|engine| Event::Started { version, home: engine.home, is_replacement });
@@ -200,7 +200,7 @@
     }
 
     pub(super) fn note_refusal(&mut self, name: CallUid, reason: RefusalReason, wait: Duration) {
-        self.figures.refused_for(reason.label());
+        self.figures.count_refusal(reason.label());
         let retry_after_ms = wait.as_millis() as u32;
         self.note(|_| Event::Refused { call: recorded(name), reason, retry_after_ms });
     }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,7 +1,7 @@
 //! Every parser of what comes from outside: valid messages cut at random, and random garbage, from fixed seeds.
 
-#[path = "common/desk.rs"]
-mod desk;
+#[path = "common/engine_harness.rs"]
+mod engine_harness;
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -10,13 +10,13 @@
 use proptest::test_runner::{Config as Cases, RngAlgorithm, TestRng, TestRunner};
 use swiftlb::config::{Config, parse_json};
 use swiftlb::engine::{CallUid, CallerMessage, ExchangeMessage, Input, ListEntry, SiblingMessage};
-use swiftlb::iax2::element::{Elements, advice, cause_of, end_of};
-use swiftlb::iax2::frame::{Frame, FrameError, Full, Kind, Mini, iax, read};
+use swiftlb::iax2::element::{InformationElements, cause_elements, outcome_of, parse_retry_after};
+use swiftlb::iax2::frame::{Frame, FrameError, FrameType, FullFrame, MiniFrame, decode, iax};
 use swiftlb::iax2::{Endpoint, Iax2Config, Output};
 use swiftlb::interface::{Outcome, Readiness, Reason};
 use swiftlb::net::jsonl::{
-    Cut, FromCaller, FromExchange, LONGEST, LineError, Lines, read_caller, read_exchange, write_caller,
-    write_exchange,
+    CallerLine, ExchangeLine, LineError, LineSplitter, MAX_LINE_BYTES, SplitLine, format_caller_message,
+    format_exchange_message, parse_caller_line, parse_exchange_line,
 };
 use swiftlb::net::{dns, handover};
 
@@ -45,9 +45,9 @@
 
 #[test]
 fn a_stream_cut_anywhere_gives_the_same_lines() {
-    let stream = format!("{}\n\n{{\"kind\":\"check\"}}\n{}\nrest", launch(), "y".repeat(LONGEST + 5));
+    let stream = format!("{}\n\n{{\"kind\":\"check\"}}\n{}\nrest", launch(), "y".repeat(MAX_LINE_BYTES + 5));
     let lines = |cuts: &[usize]| {
-        let (mut lines, mut seen, mut at) = (Lines::default(), Vec::new(), 0);
+        let (mut lines, mut seen, mut at) = (LineSplitter::default(), Vec::new(), 0);
         for end in cuts.iter().copied().chain([stream.len()]) {
             let pushed = lines.push(&stream.as_bytes()[at..end], |cut| {
                 seen.push(cut);
@@ -60,14 +60,14 @@
     };
     let whole = lines(&[]);
     assert_eq!(whole.len(), 3);
-    assert!(matches!(&whole[2], Cut::TooLong(_)));
+    assert!(matches!(&whole[2], SplitLine::TooLong(_)));
     let cuts = vec(0..stream.len(), 0..6);
     let same = |mut cuts: Vec<usize>| {
         cuts.sort_unstable();
-        let kind = |cut: &Cut| match cut {
-            Cut::Whole(line) => Some(line.clone()),
+        let kind = |cut: &SplitLine| match cut {
+            SplitLine::Complete(line) => Some(line.clone()),
             // How much of a line that is too long is kept depends on the cuts.
-            Cut::TooLong(_) => None,
+            SplitLine::TooLong(_) => None,
         };
         prop_assert!(lines(&cuts).iter().map(kind).eq(whole.iter().map(kind)));
         Ok(())
@@ -79,11 +79,11 @@
 fn lines_cut_short_and_garbage_are_errors_and_never_panics() {
     let line = launch();
     for end in 0..line.len() {
-        assert!(read_caller(&line.as_bytes()[..end], UNIX_EPOCH).is_err(), "{end}");
+        assert!(parse_caller_line(&line.as_bytes()[..end], UNIX_EPOCH).is_err(), "{end}");
     }
     let garbage = |bytes: Vec<u8>| {
-        let _ = (read_caller(&bytes, UNIX_EPOCH), read_exchange(&bytes, &report()));
-        let _ = (dns::read_answer(&[1], &bytes, &[]), read(&bytes), Elements::read(&bytes));
+        let _ = (parse_caller_line(&bytes, UNIX_EPOCH), parse_exchange_line(&bytes, &report()));
+        let _ = (dns::parse_answer(&[1], &bytes, &[]), decode(&bytes), InformationElements::decode(&bytes));
         let text = String::from_utf8_lossy(&bytes);
         prop_assert!(Config::parse(&text).is_err());
         Ok(())
@@ -93,7 +93,7 @@
         "{", "}", "[", "]", ":", ",", "\"", "\\", "\\u", "d83d", "1e9", "null", "kind", "uid", CALL, "meta",
     ]);
     let json = |pieces: Vec<&str>| {
-        let _ = read_caller(pieces.concat().as_bytes(), UNIX_EPOCH);
+        let _ = parse_caller_line(pieces.concat().as_bytes(), UNIX_EPOCH);
         Ok(())
     };
     runner(3).run(&vec(pieces, 0..60), json).expect("errors only");
@@ -103,7 +103,7 @@
 #[test]
 fn a_set_up_is_read_field_by_field_and_a_wrong_one_names_its_call() {
     let now = SystemTime::now();
-    let Ok(FromCaller::SetUp(call, setup)) = read_caller(launch().as_bytes(), now) else { panic!() };
+    let Ok(CallerLine::SetUp(call, setup)) = parse_caller_line(launch().as_bytes(), now) else { panic!() };
     assert_eq!((call, setup.class.as_str(), setup.dest), (name(), "voice", 2));
     assert_eq!((setup.remaining, setup.received), (Some(Duration::from_millis(1_500)), now));
     assert_eq!((setup.transit_from, setup.advised_route, setup.was_cut), (Some(3), None, true));
@@ -112,18 +112,18 @@
         [("dest:2", "dest:x"), ("\"1500\"", "\"soon\""), ("\"voice\"", "[]"), ("launch", "l\nunch")]
     {
         let wrong = launch().replace(from, to);
-        assert_eq!(read_caller(wrong.as_bytes(), now), Err(LineError::Call(name())), "{wrong}");
+        assert_eq!(parse_caller_line(wrong.as_bytes(), now), Err(LineError::Malformed(name())), "{wrong}");
     }
     let other = launch().replace(CALL, "9b1f");
-    assert_eq!(read_caller(other.as_bytes(), now), Err(LineError::Unreadable));
+    assert_eq!(parse_caller_line(other.as_bytes(), now), Err(LineError::Unreadable));
 }
 
 #[test]
 fn every_end_and_note_of_an_exchange_has_its_outcome_and_reason() {
     let stop = |cause: u32, meta: &str| {
         let line = format!(r#"{{"kind":"stop","uid":"{CALL}","meta":{{{meta}}},"reason":{cause}}}"#);
-        match read_exchange(line.as_bytes(), &report()) {
-            Ok(FromExchange::Stop(_, outcome, reason)) => (outcome, reason),
+        match parse_exchange_line(line.as_bytes(), &report()) {
+            Ok(ExchangeLine::Stop(_, outcome, reason)) => (outcome, reason),
             other => panic!("{other:?}"),
         }
     };
@@ -144,8 +144,8 @@
 fn a_report_has_its_values_by_name_and_what_is_missing_is_no_number() {
     let usage = |load: &str| {
         let line = format!(r#"{{"kind":"usage","meta":{{"load":"{load}"}},"uid":"0000000000000000"}}"#);
-        match read_exchange(line.as_bytes(), &report()) {
-            Ok(FromExchange::Usage(report)) => report,
+        match parse_exchange_line(line.as_bytes(), &report()) {
+            Ok(ExchangeLine::Usage(report)) => report,
             other => panic!("{other:?}"),
         }
     };
@@ -159,12 +159,12 @@
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
     let refused = CallerMessage::Refused { retry_after: Duration::from_millis(300) };
     assert_eq!(
-        text(write_caller(name(), &refused)),
+        text(format_caller_message(name(), &refused)),
         format!("{{\"kind\":\"stop\",\"uid\":\"{CALL}\",\"meta\":{{\"wait\":\"300\"}},\"reason\":34}}\n")
     );
     // Failures are never written with a cause that stands for a refusal.
     for busy in [true, false] {
-        let line = text(write_caller(name(), &CallerMessage::Failed { busy }));
+        let line = text(format_caller_message(name(), &CallerMessage::Failed { busy }));
         assert!(["34}", "42}", "102}"].iter().all(|cause| !line.contains(cause)), "{line}");
     }
     let description = Some("a\r\n\"\u{fc}\u{1f600}".into());
@@ -175,7 +175,7 @@
         remaining,
         description,
     };
-    let line = text(write_exchange(name(), &setup));
+    let line = text(format_exchange_message(name(), &setup));
     assert!(line.ends_with("}\n") && line.matches('\n').count() == 1, "{line}");
     assert!(line.contains(r#""class":"voice","key":"7F3a","left":"1500""#), "{line}");
 }
@@ -194,39 +194,42 @@
     bytes[11] = 2; // The recording ends after the records of the first target.
     let zones = ["graz".to_owned(), "wien".to_owned()];
     // An exchange that is not listed counts as gone, so an answer that lacks records of one is none at all.
-    assert!(matches!(dns::read_answer(&[0x1234], &bytes, &zones), Err(dns::AnswerError::Partial)));
+    assert!(matches!(dns::parse_answer(&[0x1234], &bytes, &zones), Err(dns::AnswerError::Incomplete)));
     // The same without the two targets of which nothing more is said.
     let (first, second) = (12 + 26 + 41, 12 + 26 + 3 * 41);
     bytes.drain(first..second);
     bytes[7] = 1;
-    let (serial, list) = dns::read_answer(&[7, 0x1234], &bytes, &zones).expect("an answer");
+    let (serial, list) = dns::parse_answer(&[7, 0x1234], &bytes, &zones).expect("an answer");
     assert_eq!((serial, list.len()), (1, 1));
     assert_eq!((&*list[0].name, list[0].number, list[0].zone), ("s-0fea4956", 1, 1));
     assert_eq!(list[0].address, "127.8.1.1:5070".parse().expect("an address"));
     assert_eq!((list[0].started_at, list[0].readiness), (None, Readiness::Ready));
-    assert!(dns::read_answer(&[0x1235], &bytes, &zones).is_err(), "an answer to another query");
+    assert!(dns::parse_answer(&[0x1235], &bytes, &zones).is_err(), "an answer to another query");
     for end in 0..bytes.len() {
-        assert!(dns::read_answer(&[0x1234], &bytes[..end], &zones).is_err(), "{end}");
+        assert!(dns::parse_answer(&[0x1234], &bytes[..end], &zones).is_err(), "{end}");
     }
-    let query = dns::query(0x1234).expect("a query");
+    let query = dns::build_query(0x1234).expect("a query");
     assert_eq!(&query[12..], &bytes[12..12 + query.len() - 12], "the question is the one that was answered");
 }
 
 #[test]
 fn frames_have_the_layout_of_the_specification() {
     let bytes = [0x80, 0x05, 0x80, 0x07, 0, 0, 1, 2, 3, 4, 6, 1, 0x0b, 2, 0, 2];
-    let Ok(Frame::Full(frame)) = read(&bytes) else { panic!() };
-    assert_eq!((frame.source, frame.dest, frame.again, frame.timestamp), (5, 7, true, 0x102));
-    assert_eq!((frame.oseq, frame.iseq, frame.is(iax::NEW)), (3, 4, true));
-    assert_eq!(Elements::read(&frame.payload).expect("elements").version, Some(2));
-    assert_eq!(frame.write(), bytes);
-    let Ok(Frame::Full(h264)) = read(&[0x80, 1, 0, 0, 0, 0, 0, 0, 0, 0, 3, 0x95]) else { panic!() };
-    assert_eq!((h264.kind, h264.subclass, h264.write()[11]), (Kind::Video, 1 << 21, 0x95));
-    let mini = Mini { source: 5, timestamp: 0x1234, payload: vec![9] };
-    assert_eq!((mini.write(), read(&mini.write())), (vec![0, 5, 0x12, 0x34, 9], Ok(Frame::Mini(mini))));
-    assert_eq!(read(&[0, 0, 1, 1, 0, 0]), Err(FrameError::Meta));
+    let Ok(Frame::Full(frame)) = decode(&bytes) else { panic!() };
+    assert_eq!(
+        (frame.source_call, frame.dest_call, frame.retransmitted, frame.timestamp),
+        (5, 7, true, 0x102)
+    );
+    assert_eq!((frame.oseqno, frame.iseqno, frame.is_iax(iax::NEW)), (3, 4, true));
+    assert_eq!(InformationElements::decode(&frame.payload).expect("elements").version, Some(2));
+    assert_eq!(frame.encode(), bytes);
+    let Ok(Frame::Full(h264)) = decode(&[0x80, 1, 0, 0, 0, 0, 0, 0, 0, 0, 3, 0x95]) else { panic!() };
+    assert_eq!((h264.frame_type, h264.subclass, h264.encode()[11]), (FrameType::Video, 1 << 21, 0x95));
+    let mini = MiniFrame { source_call: 5, timestamp: 0x1234, payload: vec![9] };
+    assert_eq!((mini.encode(), decode(&mini.encode())), (vec![0, 5, 0x12, 0x34, 9], Ok(Frame::Mini(mini))));
+    assert_eq!(decode(&[0, 0, 1, 1, 0, 0]), Err(FrameError::MetaFrame));
     for end in 0..12 {
-        assert!(read(&bytes[..end]).is_err(), "{end}");
+        assert!(decode(&bytes[..end]).is_err(), "{end}");
     }
 }
 
@@ -237,7 +240,7 @@
     let numbers = (any::<Option<u32>>(), any::<Option<u32>>(), any::<Option<u16>>(), any::<Option<u8>>());
     let texts = (any_text(), any_text(), any_text(), any_text());
     let both = |((called, calling, context, cause), (capability, format, version, code))| {
-        let elements = Elements {
+        let elements = InformationElements {
             called_number: called,
             calling_number: calling,
             called_context: context,
@@ -248,31 +251,37 @@
             cause_code: code,
             unknown: None,
         };
-        let bytes = elements.write();
-        prop_assert_eq!(Elements::read(&bytes), Ok(elements));
+        let bytes = elements.encode();
+        prop_assert_eq!(InformationElements::decode(&bytes), Ok(elements));
         Ok(())
     };
     runner(4).run(&(texts, numbers), both).expect("the same elements");
-    assert_eq!(Elements::read(&[1, 5, b'1']), Err(FrameError::Element(1)));
-    assert_eq!(Elements::read(&[1]), Err(FrameError::Element(1)));
+    assert_eq!(InformationElements::decode(&[1, 5, b'1']), Err(FrameError::TruncatedElement(1)));
+    assert_eq!(InformationElements::decode(&[1]), Err(FrameError::TruncatedElement(1)));
 }
 
 #[test]
 fn causes_and_advice_mean_the_same_in_both_directions() {
-    let refused = cause_of(&CallerMessage::Refused { retry_after: Duration::from_millis(700) });
-    assert_eq!(end_of(&refused), (Outcome::Congested, Reason::ProcessorFull(700.0)));
-    assert_eq!(end_of(&cause_of(&CallerMessage::Failed { busy: true })), (Outcome::Busy, Reason::UserBusy));
+    let refused = cause_elements(&CallerMessage::Refused { retry_after: Duration::from_millis(700) });
+    assert_eq!(outcome_of(&refused), (Outcome::Congested, Reason::ProcessorFull(700.0)));
+    assert_eq!(
+        outcome_of(&cause_elements(&CallerMessage::Failed { busy: true })),
+        (Outcome::Busy, Reason::UserBusy)
+    );
     assert_eq!(
-        end_of(&cause_of(&CallerMessage::Released { cut: true })),
+        outcome_of(&cause_elements(&CallerMessage::Released { cut: true })),
         (Outcome::Reset, Reason::Unspecified)
     );
     assert_eq!(
-        end_of(&cause_of(&CallerMessage::Released { cut: false })),
+        outcome_of(&cause_elements(&CallerMessage::Released { cut: false })),
         (Outcome::Completed, Reason::Unspecified)
     );
-    assert_eq!(end_of(&Elements::of_cause(34, "")), (Outcome::Congested, Reason::NoCircuit));
-    assert_eq!(end_of(&Elements::of_cause(102, "")), (Outcome::NotSent, Reason::Unspecified));
-    assert_eq!(advice("retry after 99999999999999999999999 ms"), None);
+    assert_eq!(outcome_of(&InformationElements::with_cause(34, "")), (Outcome::Congested, Reason::NoCircuit));
+    assert_eq!(
+        outcome_of(&InformationElements::with_cause(102, "")),
+        (Outcome::NotSent, Reason::Unspecified)
+    );
+    assert_eq!(parse_retry_after("retry after 99999999999999999999999 ms"), None);
 }
 
 #[test]
@@ -287,13 +296,13 @@
         }
         let set_ups = out.inputs.iter().filter(|input| matches!(input, Input::SetUp { .. })).count();
         prop_assert!(set_ups <= datagrams.len() && out.datagrams.len() <= 3 * datagrams.len());
-        endpoint.wake(UNIX_EPOCH + Duration::from_secs(60), &mut out);
+        endpoint.handle_timeout(UNIX_EPOCH + Duration::from_secs(60), &mut out);
         Ok(())
     };
     // Whole headers with random fields reach deeper than plain garbage.
     let frame = (0u8..4, 0u8..4, 0u8..3, 0u8..3, 0u8..7, 0u8..0x23, vec(any::<u8>(), 0..12));
-    let frame = frame.prop_map(|(source, dest, oseq, iseq, kind, subclass, payload)| {
-        let mut bytes = vec![0x80, source, 0, dest, 0, 0, 0, 1, oseq, iseq, kind, subclass];
+    let frame = frame.prop_map(|(source, dest, oseqno, iseqno, kind, subclass, payload)| {
+        let mut bytes = vec![0x80, source, 0, dest, 0, 0, 0, 1, oseqno, iseqno, kind, subclass];
         bytes.extend(payload);
         bytes
     });
@@ -301,33 +310,34 @@
     runner(5).run(&vec(datagram, 0..30), garbage).expect("no panic");
     let mut endpoint = Endpoint::new(config(), 0, 1);
     let mut out = Output::default();
-    let (kind, payload) = (Kind::Iax, vec![0x0b, 2, 0, 2, 5, 7, b's', b'e', b'r', b'v', b'i', b'c', b'e']);
-    let new = Full {
-        source: 3,
-        dest: 0,
-        again: false,
+    let (frame_type, payload) =
+        (FrameType::Iax, vec![0x0b, 2, 0, 2, 5, 7, b's', b'e', b'r', b'v', b'i', b'c', b'e']);
+    let new = FullFrame {
+        source_call: 3,
+        dest_call: 0,
+        retransmitted: false,
         timestamp: 1,
-        oseq: 0,
-        iseq: 0,
-        kind,
+        oseqno: 0,
+        iseqno: 0,
+        frame_type,
         subclass: iax::NEW,
         payload,
     };
-    endpoint.receive(UNIX_EPOCH, from, &new.write(), &mut out);
+    endpoint.receive(UNIX_EPOCH, from, &new.encode(), &mut out);
     assert!(matches!(out.inputs[..], [Input::SetUp { .. }]));
     // A caller that is never heard again costs its leg no more than some repetitions.
     let call = match &out.inputs[0] {
         Input::SetUp { call, .. } => *call,
         _ => return,
     };
-    endpoint.to_caller(UNIX_EPOCH, call, &CallerMessage::Failed { busy: false }, &mut out);
+    endpoint.send_to_caller(UNIX_EPOCH, call, &CallerMessage::Failed { busy: false }, &mut out);
     let mut now = UNIX_EPOCH;
-    while let Some(at) = endpoint.next_wake() {
+    while let Some(at) = endpoint.next_timeout() {
         assert!(at <= UNIX_EPOCH + Duration::from_secs(8), "a dead peer is kept for too long");
         now = now.max(at);
-        endpoint.wake(now, &mut out);
+        endpoint.handle_timeout(now, &mut out);
     }
-    assert_eq!(endpoint.legs(), 0);
+    assert_eq!(endpoint.leg_count(), 0);
 }
 
 #[test]
@@ -357,16 +367,16 @@
                 SiblingMessage::Ended { call, cut: flag },
                 SiblingMessage::Release { call, cut: flag },
             ] {
-                let mut line = handover::write(&word);
+                let mut line = handover::format_message(&word);
                 prop_assert_eq!(line.pop(), Some(b'\n'));
-                prop_assert_eq!(handover::read(&line), Ok(word));
+                prop_assert_eq!(handover::parse_message(&line), Ok(word));
                 let cut = cut % line.len();
-                prop_assert!(handover::read(&line[..cut]).is_err());
+                prop_assert!(handover::parse_message(&line[..cut]).is_err());
                 line.splice(cut..cut, garbage.iter().copied());
                 // Whatever it has become, it is read or turned down without a panic.
-                let _ = handover::read(&line);
+                let _ = handover::parse_message(&line);
             }
-            prop_assert!(handover::read(&garbage).is_err());
+            prop_assert!(handover::parse_message(&garbage).is_err());
             Ok(())
         })
         .expect("words that come back");
