--- a/src/decide.rs
+++ b/src/decide.rs
@@ -36,9 +36,9 @@
 /// Circuits beyond its width that must be free on the onward group for a call in transit (the reserve of the
 /// design). A call over a tandem leaves them free on the second leg, and overflow on the first leg too.
 const TRANSIT_RESERVE_CIRCUITS: f64 = 2.0;
-/// Time for which a peer's report of its free circuits is valid, in ms (given by the design).
+/// Time for which a peer's report of its free circuits is valid, in ms (a figure of the design).
 const LEG_REPORT_VALID_MS: f64 = 10_000.0;
-/// Time for which a second leg counts as full after a crank-back, in ms (given by the design).
+/// Time for which a second leg counts as full after a crank-back, in ms (a figure of the design).
 const LEG_FULL_MS: f64 = 10_000.0;
 /// Time for which a second leg counts as absent, in ms. The time is limited because a full group can be
 /// mistaken for an absent one.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -67,6 +67,7 @@
     }
 }
 
+/// Id of the exchange with this number: the last byte of its address is the number.
 pub fn exchange_id(number: Number) -> ExchangeId {
     ExchangeId { address: [10, 0, 0, number as u8], port: 5_060 }
 }
@@ -75,6 +76,7 @@
     Number::from(id.address[3])
 }
 
+/// An entry of the list of exchanges, in zone 0.
 pub fn list_entry(number: Number, readiness: Readiness, started_ms: f64) -> ListedExchange {
     ListedExchange { id: exchange_id(number), number, zone: 0, started_ms, readiness }
 }
@@ -103,12 +105,14 @@
         self.handle(Event::List { kind: ListUpdateKind::Cached, entries })
     }
 
+    /// Passes an event to the controller at the current time.
     pub fn handle(&mut self, event: Event) -> Response {
         let mut actions = Vec::new();
         self.controller.handle(self.now, event, &mut actions);
         Response { actions }
     }
 
+    /// Lets time pass without an event.
     pub fn advance(&mut self, ms: f64) {
         self.now += ms;
     }
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -77,7 +77,8 @@
     }
 }
 
-/// Where no group exists, the tandem is the first route: no overflow reserve applies on its first leg.
+/// Where no group exists, the tandem is the first route: no overflow reserve applies on its first leg, and
+/// the wait at the destination does not stop the call.
 #[test]
 fn a_pair_without_a_group_uses_its_tandem_as_the_first_route() {
     let mut host = Host::mesh(3, 1);
@@ -164,7 +165,7 @@
     assert_eq!(
         host.end_attempt(2, 0, 2, Outcome::Congested, Reason::CrankBack).sent_to(),
         Some(3),
-        "the other tandem"
+        "the call goes over the other tandem"
     );
     host.answer(2, 3, 40.0);
     host.advance(9_900.0);
@@ -597,7 +598,7 @@
 fn an_exchange_that_seems_stuck_gets_trial_calls_at_doubling_intervals_and_all_calls_once_it_answers() {
     let mut host = Host::mesh(2, 1);
     host.report_free_circuits(1, 30.0, 30.0);
-    let sent = |answer: &common::Response| answer.sent_to() == Some(1);
+    let sent = |response: &common::Response| response.sent_to() == Some(1);
     assert!(sent(&host.offer_call(1, 0, 1)));
     host.advance(300.0);
     assert!(!sent(&host.offer_call(2, 0, 1)), "the exchange may be stuck");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -16,8 +16,8 @@
     host.report_free_circuits(1, 9.0, 9.0);
     assert_eq!(host.offer_call(1, 0, 1).sent_to(), Some(1));
     host.advance(3_000.0);
-    let answer = host.end_attempt(1, 0, 1, Outcome::TimedOut, Reason::Unspecified);
-    assert_eq!(answer.actions, [Action::Fail { call: 1 }]);
+    let response = host.end_attempt(1, 0, 1, Outcome::TimedOut, Reason::Unspecified);
+    assert_eq!(response.actions, [Action::Fail { call: 1 }]);
     let late = host.end_attempt(1, 0, 1, Outcome::Congested, Reason::NoCircuit);
     assert_eq!(late.actions, [], "no action after the final answer");
 }
@@ -189,8 +189,8 @@
     host.report_free_circuits(3, 9.0, 9.0);
     let first = host.offer_call(1, 0, 1).sent_to();
     host.advance(50.0);
-    let answer = host.end_attempt(1, 0, first.unwrap(), Outcome::Reset, Reason::Unspecified);
-    let [Action::SetTimer { delay_ms, tag }] = answer.actions[..] else { panic!("{answer:?}") };
+    let response = host.end_attempt(1, 0, first.unwrap(), Outcome::Reset, Reason::Unspecified);
+    let [Action::SetTimer { delay_ms, tag }] = response.actions[..] else { panic!("{response:?}") };
     assert!(delay_ms >= host.settings.release_pause_ms);
     host.advance(delay_ms / 2.0);
     assert_eq!(
