--- a/src/interface.rs
+++ b/src/interface.rs
@@ -253,7 +253,7 @@
     Answered {
         /// The call.
         call: CallId,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
         /// Exchange that it was sent to.
         exchange: ExchangeId,
@@ -264,7 +264,7 @@
     AttemptEnded {
         /// The call.
         call: CallId,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
         /// Exchange that it was sent to.
         exchange: ExchangeId,
@@ -337,7 +337,7 @@
     Cancel {
         /// The call.
         call: CallId,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
     /// Set a timer.
