--- a/crates/ctl/src/demo.rs
+++ b/crates/ctl/src/demo.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use signal_hook::consts::{SIGINT, SIGTERM};
-use swiftlb_emulator::shell::{Plan, Rig, beside};
-use swiftlb_emulator::{CLASSES, Scenario, World};
+use swiftlb_emulator::loopback::{LoopbackMesh, RunOptions, find_program};
+use swiftlb_emulator::{CLASSES, MeshModel, Scenario};
 
 use crate::Failure;
 use crate::progress::Progress;
@@ -100,13 +100,13 @@
         let wrong = |error: &dyn std::fmt::Display| Failure::User(format!("{}: {error}", asked.incident));
         let text = std::fs::read_to_string(&asked.incident).map_err(|error| wrong(&error))?;
         let script = Scenario::parse(&text).map_err(|error| wrong(&error))?;
-        Scenario { lasts: lasts.unwrap_or(script.lasts), ..script }
+        Scenario { duration: lasts.unwrap_or(script.duration), ..script }
     } else {
-        let named = Scenario::named(&asked.incident, lasts.unwrap_or(usual));
+        let named = Scenario::built_in(&asked.incident, lasts.unwrap_or(usual));
         named.map_err(|error| Failure::User(format!("--incident: {error}")))?
     };
     scenario.nodes = asked.nodes.unwrap_or(scenario.nodes);
-    scenario.rate = asked.rate.unwrap_or(scenario.rate);
+    scenario.calls_per_s = asked.rate.unwrap_or(scenario.calls_per_s);
     let last = scenario.incidents.iter().map(|incident| incident.node).max().unwrap_or(0);
     if last >= scenario.nodes {
         return Err(Failure::User(format!(
@@ -125,7 +125,7 @@
     };
     let program = match &asked.program {
         Some(program) => program.clone(),
-        None => beside(&std::env::current_exe()?, "swiftlb").ok_or_else(missing)?,
+        None => find_program(&std::env::current_exe()?, "swiftlb").ok_or_else(missing)?,
     };
     // A folder of its own for each play: records of an earlier one would be told with this one's.
     let stamp = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
@@ -134,61 +134,61 @@
     for signal in [SIGINT, SIGTERM] {
         signal_hook::flag::register(signal, Arc::clone(&stop))?;
     }
-    let lasts = scenario.lasts;
-    let plan = Plan { scenario, seed: asked.seed, program, folder: folder.clone() };
+    let lasts = scenario.duration;
+    let options = RunOptions { scenario, seed: asked.seed, program, directory: folder.clone() };
     let mut progress = Progress::new();
     progress.say("starting the softswitches ...");
-    let mut rig = Rig::start(plan)?;
-    while rig.play(Duration::from_millis(250))? && !stop.load(Ordering::Relaxed) {
-        let (now, what) = (rig.now().as_secs_f64(), line(rig.world()));
+    let mut mesh = LoopbackMesh::start(options)?;
+    while mesh.run(Duration::from_millis(250))? && !stop.load(Ordering::Relaxed) {
+        let (now, what) = (mesh.elapsed().as_secs_f64(), line(mesh.model()));
         progress.say(&match now < lasts.as_secs_f64() {
             true => format!("{now:3.0} of {:.0} s   {what}", lasts.as_secs_f64()),
             false => format!("the last calls end   {what}"),
         });
     }
     progress.say("stopping the softswitches ...");
-    rig.finish(if stop.load(Ordering::Relaxed) { AT_ONCE } else { IN_GOOD_ORDER });
+    mesh.shut_down(if stop.load(Ordering::Relaxed) { AT_ONCE } else { IN_GOOD_ORDER });
     drop(progress);
     if stop.load(Ordering::Relaxed) {
         return Err(Failure::Interrupted);
     }
-    let report = report::build(&[rig.records()], (0, u64::MAX))?;
+    let report = report::build(&[mesh.records_directory()], (0, u64::MAX))?;
     let page = folder.join("report.html");
     report::write(&report, &page, Some(&folder.join("events.jsonl")))?;
     if asked.json {
-        println!("{}", json(rig.world(), &folder));
+        println!("{}", json(mesh.model(), &folder));
     } else {
-        print!("{}{}", summary(rig.world(), &folder), report::summary(&report, &page));
+        print!("{}{}", summary(mesh.model(), &folder), report::summary(&report, &page));
     }
     Ok(())
 }
 
-fn line(world: &World) -> String {
-    let sum = |of: fn(&swiftlb_emulator::Summary) -> u64| world.summary().iter().map(of).sum::<u64>();
+fn line(model: &MeshModel) -> String {
+    let sum = |of: fn(&swiftlb_emulator::ClassTotals) -> u64| model.totals().iter().map(of).sum::<u64>();
     let (offered, stood) = (sum(|s| s.offered), sum(|s| s.in_time + s.late));
     format!("{offered} calls, {stood} stood, {} not served, {} cut", sum(|s| s.unserved), sum(|s| s.cut))
 }
 
-fn summary(world: &World, folder: &Path) -> String {
+fn summary(model: &MeshModel, folder: &Path) -> String {
     let mut text = format!(
         "{:<14}{:>9}{:>9}{:>9}{:>12}{:>9}\n",
         "class", "offered", "in time", "late", "not served", "cut"
     );
-    for (class, s) in CLASSES.iter().zip(world.summary()) {
+    for (class, s) in CLASSES.iter().zip(model.totals()) {
         text += &format!(
             "{:<14}{:>9}{:>9}{:>9}{:>12}{:>9}\n",
             class.name, s.offered, s.in_time, s.late, s.unserved, s.cut
         );
     }
-    text += &format!("service {:.3}, rules broken {}\n", world.service(), world.broken());
+    text += &format!("service {:.3}, rules broken {}\n", model.service_level(), model.protocol_violations());
     text += &format!("records: {}\n", folder.join("records").display());
     text
 }
 
-fn json(world: &World, folder: &Path) -> String {
+fn json(model: &MeshModel, folder: &Path) -> String {
     let classes: Vec<String> = CLASSES
         .iter()
-        .zip(world.summary())
+        .zip(model.totals())
         .map(|(class, s)| {
             format!(
                 "{{\"class\":\"{}\",\"offered\":{},\"in_time\":{},\"late\":{},\"unserved\":{},\"cut\":{}}}",
@@ -198,8 +198,8 @@
         .collect();
     format!(
         "{{\"service\":{:.4},\"broken\":{},\"folder\":{:?},\"classes\":[{}]}}",
-        world.service(),
-        world.broken(),
+        model.service_level(),
+        model.protocol_violations(),
         folder.display().to_string(),
         classes.join(",")
     )
--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -14,8 +14,8 @@
 };
 use swiftlb::interface::{Outcome, Readiness, Reason};
 use swiftlb_emulator::{
-    CallerHears, ExchangeHears, ExchangeSays, Input as WorldInput, Listed, Node, Output, Scenario,
-    SwitchHears, World,
+    Input as WorldInput, ListedExchange, MeshModel, MessageFromCaller, MessageFromExchange, MessageToCaller,
+    MessageToExchange, Output, Scenario, SoftswitchConfig,
 };
 use swiftlb_record::{FileHeader, FileWriter, Record, file_name};
 
@@ -48,7 +48,7 @@
 
 /// The mesh.
 pub struct Mesh {
-    pub world: World,
+    pub world: MeshModel,
     switches: Vec<Switch>,
     clocks: Vec<Clock>,
     events: BinaryHeap<Reverse<(Duration, u64, usize)>>,
@@ -72,7 +72,7 @@
     SocketAddr::from(([10, 0, 0, exchange as u8 + 1], 5070))
 }
 
-fn entry(listed: &Listed) -> ListEntry {
+fn entry(listed: &ListedExchange) -> ListEntry {
     ListEntry {
         name: listed.name.as_str().into(),
         address: address(listed.exchange),
@@ -80,7 +80,7 @@
         zone: (listed.exchange % 3) as u16,
         // The platform tells it in whole milliseconds.
         started_at: listed
-            .born
+            .started_at
             .map(|born| UNIX_EPOCH + EPOCH + Duration::from_millis(born.as_millis() as u64)),
         readiness: if listed.draining { Readiness::Draining } else { Readiness::Ready },
     }
@@ -88,11 +88,11 @@
 
 impl Mesh {
     /// Plays a scenario to its end; the records are in this folder then.
-    pub fn play(scenario: Scenario, seed: u64, clocks: &[Clock], folder: &Path) -> World {
+    pub fn play(scenario: Scenario, seed: u64, clocks: &[Clock], folder: &Path) -> MeshModel {
         let _ = std::fs::remove_dir_all(folder);
         std::fs::create_dir_all(folder).expect("a folder");
         let nodes = scenario.nodes;
-        let switch = |_| Switch {
+        let softswitch = |_| Switch {
             engine: None,
             start: 0,
             conns: BTreeMap::new(),
@@ -101,8 +101,8 @@
             flushed: Duration::ZERO,
         };
         let mut mesh = Self {
-            world: World::new(scenario, seed),
-            switches: (0..nodes).map(switch).collect(),
+            world: MeshModel::new(scenario, seed),
+            switches: (0..nodes).map(softswitch).collect(),
             clocks: clocks.iter().copied().chain(std::iter::repeat(Clock::default())).take(nodes).collect(),
             events: BinaryHeap::new(),
             waiting: BTreeMap::new(),
@@ -111,18 +111,18 @@
             folder: folder.to_owned(),
             seed,
         };
-        for switch in 0..nodes {
-            mesh.start(switch);
+        for softswitch in 0..nodes {
+            mesh.start(softswitch);
         }
-        while !mesh.world.is_over() {
+        while !mesh.world.is_finished() {
             mesh.step();
         }
-        for switch in 0..nodes {
-            mesh.put(switch, Input::Drain);
+        for softswitch in 0..nodes {
+            mesh.put(softswitch, Input::Drain);
             mesh.now += Duration::from_secs(11);
-            mesh.put(switch, Input::Wake);
+            mesh.put(softswitch, Input::Wake);
             mesh.now -= Duration::from_secs(11);
-            mesh.save(switch, false);
+            mesh.save(softswitch, false);
         }
         mesh.world
     }
@@ -144,61 +144,72 @@
             let Some(Reverse((_, _, id))) = self.events.pop() else { return };
             match self.waiting.remove(&id) {
                 Some(Event::World(input)) => self.tell_world(input),
-                Some(Event::Switch(switch, start, input)) if self.switches[switch].start == start => {
-                    self.put(switch, input);
+                Some(Event::Switch(softswitch, start, input)) if self.switches[softswitch].start == start => {
+                    self.put(softswitch, input);
                 }
-                Some(Event::Dial(switch, start, exchange_conn, to))
-                    if self.switches[switch].start == start =>
+                Some(Event::Dial(softswitch, start, exchange_conn, to))
+                    if self.switches[softswitch].start == start =>
                 {
-                    self.dialled(switch, exchange_conn, to);
+                    self.dialled(softswitch, exchange_conn, to);
+                }
+                Some(Event::List(softswitch, start)) if self.switches[softswitch].start == start => {
+                    self.list(softswitch)
                 }
-                Some(Event::List(switch, start)) if self.switches[switch].start == start => self.list(switch),
                 _ => {}
             }
             return;
         }
-        for switch in 0..self.switches.len() {
+        for softswitch in 0..self.switches.len() {
             let due = |engine: &Engine| engine.next_wake().is_some_and(|wake| wake <= at(self.now));
-            if self.switches[switch].engine.as_ref().is_some_and(due) {
-                self.put(switch, Input::Wake);
+            if self.switches[softswitch].engine.as_ref().is_some_and(due) {
+                self.put(softswitch, Input::Wake);
             }
         }
         self.tell_world(WorldInput::Wake);
     }
 
-    fn start(&mut self, switch: usize) {
+    fn start(&mut self, softswitch: usize) {
         let nodes = self.switches.len();
-        let any = address(switch);
+        let any = address(softswitch);
         let (serial, list) = self.world.list(self.now);
-        let list: Vec<(Listed, SocketAddr)> = list.iter().map(|l| (l.clone(), address(l.exchange))).collect();
+        let list: Vec<(ListedExchange, SocketAddr)> =
+            list.iter().map(|l| (l.clone(), address(l.exchange))).collect();
         let epoch = UNIX_EPOCH + EPOCH;
-        let node = Node { switch, nodes, listen: any, operator: any, names: any, seed: self.seed, epoch };
-        let config = Config::parse(&node.config(serial, &list)).expect("a configuration");
+        let node = SoftswitchConfig {
+            number: softswitch,
+            node_count: nodes,
+            listen: any,
+            operator: any,
+            resolver: any,
+            seed: self.seed,
+            epoch,
+        };
+        let config = Config::parse(&node.to_json(serial, &list)).expect("a configuration");
         let mut effects = Vec::new();
         let mut engine = Engine::new(&config, at(self.now), &mut effects).expect("settings that make sense");
         engine.start_recording(false, &mut effects);
-        let run_us = self.shows(switch, (EPOCH + self.now).as_micros() as u64);
-        let head = FileHeader::first_of_run(&format!("n{switch}"), switch as u32, run_us);
+        let run_us = self.shows(softswitch, (EPOCH + self.now).as_micros() as u64);
+        let head = FileHeader::first_of_run(&format!("n{softswitch}"), softswitch as u32, run_us);
         let writer = FileWriter::create(Vec::new(), &head).expect("memory");
-        let held = &mut self.switches[switch];
+        let held = &mut self.switches[softswitch];
         (held.engine, held.start, held.serial) = (Some(engine), held.start + 1, serial);
         (held.file, held.flushed) = (Some((head, writer)), self.now);
         let start = held.start;
-        self.perform(switch, effects);
-        self.put(switch, Input::CallerConnected { caller_conn: LINK, front: Front::JsonLines });
-        self.later(LIST, Event::List(switch, start));
-        self.tell_world(WorldInput::SwitchUp(switch));
+        self.perform(softswitch, effects);
+        self.put(softswitch, Input::CallerConnected { caller_conn: LINK, front: Front::JsonLines });
+        self.later(LIST, Event::List(softswitch, start));
+        self.tell_world(WorldInput::SoftswitchUp(softswitch));
     }
 
-    fn shows(&self, switch: usize, at_us: u64) -> u64 {
-        let Clock(ahead, ppm) = self.clocks[switch];
+    fn shows(&self, softswitch: usize, at_us: u64) -> u64 {
+        let Clock(ahead, ppm) = self.clocks[softswitch];
         let gone = at_us as i64 - EPOCH.as_micros() as i64;
         at_us.saturating_add_signed(ahead + gone / 1_000 * ppm / 1_000)
     }
 
     /// Ends a file: in good order, or cut in the middle of its last block.
-    fn save(&mut self, switch: usize, killed: bool) {
-        let Some((head, mut writer)) = self.switches[switch].file.take() else { return };
+    fn save(&mut self, softswitch: usize, killed: bool) {
+        let Some((head, mut writer)) = self.switches[softswitch].file.take() else { return };
         let path = self.folder.join(file_name(&head));
         let before = writer.written_bytes() as usize;
         writer.flush().expect("memory");
@@ -208,85 +219,95 @@
         std::fs::write(path, &bytes[..keep]).expect("a file");
     }
 
-    fn list(&mut self, switch: usize) {
+    fn list(&mut self, softswitch: usize) {
         let (serial, list) = self.world.list(self.now);
         let entries: Vec<ListEntry> = list.iter().map(entry).collect();
-        if serial > self.switches[switch].serial {
-            self.switches[switch].serial = serial;
-            self.put(switch, Input::List(entries));
+        if serial > self.switches[softswitch].serial {
+            self.switches[softswitch].serial = serial;
+            self.put(softswitch, Input::List(entries));
         }
-        self.put(switch, Input::ListConfirmed { serial });
-        let start = self.switches[switch].start;
-        self.later(LIST, Event::List(switch, start));
+        self.put(softswitch, Input::ListConfirmed { serial });
+        let start = self.switches[softswitch].start;
+        self.later(LIST, Event::List(softswitch, start));
     }
 
-    fn dialled(&mut self, switch: usize, exchange_conn: ExchangeConnId, to: usize) {
-        let back = latency(switch, to);
-        let start = self.switches[switch].start;
-        if !self.world.is_alive(to) {
+    fn dialled(&mut self, softswitch: usize, exchange_conn: ExchangeConnId, to: usize) {
+        let back = latency(softswitch, to);
+        let start = self.switches[softswitch].start;
+        if !self.world.is_exchange_running(to) {
             return self.later(
                 back,
-                Event::Switch(switch, start, Input::ExchangeConnectFailed { exchange_conn, refused: true }),
+                Event::Switch(
+                    softswitch,
+                    start,
+                    Input::ExchangeConnectFailed { exchange_conn, refused: true },
+                ),
             );
         }
-        self.switches[switch].conns.insert(exchange_conn, to);
+        self.switches[softswitch].conns.insert(exchange_conn, to);
         self.later(
             back,
-            Event::Switch(switch, start, Input::ExchangeConnected { exchange_conn, carries_calls: false }),
+            Event::Switch(
+                softswitch,
+                start,
+                Input::ExchangeConnected { exchange_conn, carries_calls: false },
+            ),
         );
-        self.tell_world(WorldInput::WayUp { switch, exchange: to });
+        self.tell_world(WorldInput::ExchangeConnected { softswitch, exchange: to });
     }
 
-    fn put(&mut self, switch: usize, input: Input) {
+    fn put(&mut self, softswitch: usize, input: Input) {
         let mut effects = Vec::new();
         let now = at(self.now);
-        let Some(engine) = &mut self.switches[switch].engine else { return };
+        let Some(engine) = &mut self.switches[softswitch].engine else { return };
         engine.handle(now, input, &mut effects);
-        self.perform(switch, effects);
+        self.perform(softswitch, effects);
     }
 
-    fn perform(&mut self, switch: usize, effects: Vec<Effect>) {
-        let start = self.switches[switch].start;
+    fn perform(&mut self, softswitch: usize, effects: Vec<Effect>) {
+        let start = self.switches[softswitch].start;
         for effect in effects {
             match effect {
                 Effect::ConnectExchange { exchange_conn, number, .. } => {
                     let to = number as usize;
-                    self.later(latency(switch, to), Event::Dial(switch, start, exchange_conn, to));
+                    self.later(latency(softswitch, to), Event::Dial(softswitch, start, exchange_conn, to));
                 }
                 Effect::CloseExchangeConn { exchange_conn } => {
-                    self.switches[switch].conns.remove(&exchange_conn);
+                    self.switches[softswitch].conns.remove(&exchange_conn);
                 }
                 Effect::ToExchange { exchange_conn, call, message } => {
-                    let Some(exchange) = self.switches[switch].conns.get(&exchange_conn).copied() else {
+                    let Some(exchange) = self.switches[softswitch].conns.get(&exchange_conn).copied() else {
                         continue;
                     };
-                    let word = match message {
-                        ExchangeMessage::SetUp { .. } => ExchangeHears::SetUp,
-                        ExchangeMessage::Cancel | ExchangeMessage::Release { .. } => ExchangeHears::Stop,
-                        ExchangeMessage::Probe => ExchangeHears::Test,
+                    let message = match message {
+                        ExchangeMessage::SetUp { .. } => MessageToExchange::SetUp,
+                        ExchangeMessage::Cancel | ExchangeMessage::Release { .. } => {
+                            MessageToExchange::Release
+                        }
+                        ExchangeMessage::Probe => MessageToExchange::Probe,
                     };
                     let call = u64::from_str_radix(call.as_str(), 16).expect("an id");
-                    let input = WorldInput::ToExchange { switch, exchange, call, word };
-                    self.later(latency(switch, exchange), Event::World(input));
+                    let input = WorldInput::ToExchange { softswitch, exchange, call, message };
+                    self.later(latency(softswitch, exchange), Event::World(input));
                 }
                 Effect::ToCaller { call, message, .. } => {
-                    let word = match message {
-                        CallerMessage::Answered { .. } => CallerHears::Answer,
-                        CallerMessage::Refused { retry_after } => CallerHears::Stop(34, retry_after),
-                        CallerMessage::Failed { .. } => CallerHears::Stop(41, Duration::ZERO),
+                    let message = match message {
+                        CallerMessage::Answered { .. } => MessageToCaller::Answered,
+                        CallerMessage::Refused { retry_after } => MessageToCaller::Ended(34, retry_after),
+                        CallerMessage::Failed { .. } => MessageToCaller::Ended(41, Duration::ZERO),
                         CallerMessage::Released { cut } => {
-                            CallerHears::Stop(if cut { 41 } else { 16 }, Duration::ZERO)
+                            MessageToCaller::Ended(if cut { 41 } else { 16 }, Duration::ZERO)
                         }
                         CallerMessage::HealthCheckResult { .. } => continue,
                     };
                     let call = u64::from_str_radix(call.as_str(), 16).expect("an id");
-                    let input = WorldInput::ToCaller { switch, call, word };
-                    self.later(latency(switch, switch), Event::World(input));
+                    let input = WorldInput::ToCaller { softswitch, call, message };
+                    self.later(latency(softswitch, softswitch), Event::World(input));
                 }
                 Effect::Record(Record { at_us, event }) => {
-                    let at_us = self.shows(switch, at_us);
+                    let at_us = self.shows(softswitch, at_us);
                     let now = self.now;
-                    let held = &mut self.switches[switch];
+                    let held = &mut self.switches[softswitch];
                     if let Some((_, writer)) = &mut held.file {
                         if now >= held.flushed + Duration::from_millis(500) {
                             held.flushed = now;
@@ -305,14 +326,14 @@
         self.world.handle(self.now, input, &mut out);
         for output in out {
             match output {
-                Output::FromCaller { switch, call, word } => {
+                Output::FromCaller { softswitch, call, message } => {
                     let call = CallUid::from_u64(call);
-                    let input = match word {
-                        SwitchHears::SetUp { class, left, dest, transit_from } => {
+                    let input = match message {
+                        MessageFromCaller::SetUp { class, remaining, dest, transit_from } => {
                             let setup = SetUp {
                                 class: class.to_owned(),
-                                received: at(self.now) + latency(switch, switch),
-                                remaining: Some(left),
+                                received: at(self.now) + latency(softswitch, softswitch),
+                                remaining: Some(remaining),
                                 called_number: Some(call.as_str().to_owned()),
                                 dest: dest as u32,
                                 width: Some(1.0),
@@ -323,17 +344,17 @@
                             };
                             Input::SetUp { caller_conn: LINK, call, setup }
                         }
-                        SwitchHears::Stop => Input::HangUp { caller_conn: LINK, call, cause: 16 },
+                        MessageFromCaller::HangUp => Input::HangUp { caller_conn: LINK, call, cause: 16 },
                     };
-                    let start = self.switches[switch].start;
-                    self.later(latency(switch, switch), Event::Switch(switch, start, input));
+                    let start = self.switches[softswitch].start;
+                    self.later(latency(softswitch, softswitch), Event::Switch(softswitch, start, input));
                 }
-                Output::FromExchange { switch, exchange, call, word } => {
-                    self.say(switch, exchange, call, word)
+                Output::FromExchange { softswitch, exchange, call, message } => {
+                    self.say(softswitch, exchange, call, message)
                 }
-                Output::Shut(exchange) => {
-                    for switch in 0..self.switches.len() {
-                        let held = &mut self.switches[switch];
+                Output::ExchangeDown(exchange) => {
+                    for softswitch in 0..self.switches.len() {
+                        let held = &mut self.switches[softswitch];
                         let gone: Vec<ExchangeConnId> = held
                             .conns
                             .iter()
@@ -342,28 +363,31 @@
                             .collect();
                         let start = held.start;
                         for exchange_conn in gone {
-                            self.switches[switch].conns.remove(&exchange_conn);
-                            let lost =
-                                Event::Switch(switch, start, Input::ExchangeDisconnected { exchange_conn });
-                            self.later(latency(switch, exchange), lost);
+                            self.switches[softswitch].conns.remove(&exchange_conn);
+                            let lost = Event::Switch(
+                                softswitch,
+                                start,
+                                Input::ExchangeDisconnected { exchange_conn },
+                            );
+                            self.later(latency(softswitch, exchange), lost);
                         }
                     }
                 }
-                Output::Open(_) => {}
-                Output::Kill(switch) => {
-                    self.save(switch, true);
-                    let held = &mut self.switches[switch];
+                Output::ExchangeUp(_) => {}
+                Output::KillSoftswitch(softswitch) => {
+                    self.save(softswitch, true);
+                    let held = &mut self.switches[softswitch];
                     (held.engine, held.start) = (None, held.start + 1);
                     held.conns.clear();
-                    self.later(Duration::ZERO, Event::World(WorldInput::SwitchDown(switch)));
+                    self.later(Duration::ZERO, Event::World(WorldInput::SoftswitchDown(softswitch)));
                 }
-                Output::Start(switch) => self.start(switch),
+                Output::StartSoftswitch(softswitch) => self.start(softswitch),
             }
         }
     }
 
-    fn say(&mut self, switch: usize, exchange: usize, call: u64, word: ExchangeSays) {
-        let held = &self.switches[switch];
+    fn say(&mut self, softswitch: usize, exchange: usize, call: u64, message: MessageFromExchange) {
+        let held = &self.switches[softswitch];
         let Some(exchange_conn) = held
             .conns
             .iter()
@@ -374,11 +398,11 @@
             return;
         };
         let call = CallUid::from_u64(call);
-        let input = match word {
-            ExchangeSays::Answer => {
+        let input = match message {
+            MessageFromExchange::Answered => {
                 Input::Answered { exchange_conn, call, description: Some(Arc::from("v=0\r\n")) }
             }
-            ExchangeSays::Stop(cause, note, wait) => {
+            MessageFromExchange::Ended(cause, note, wait) => {
                 let outcome = match cause {
                     16 => Outcome::Completed,
                     34 => Outcome::Congested,
@@ -394,11 +418,13 @@
                 };
                 Input::Ended { exchange_conn, call, outcome, reason }
             }
-            ExchangeSays::Group(free, total) => {
+            MessageFromExchange::GroupState(free, total) => {
                 Input::GroupState { exchange_conn, report: vec![f64::from(free), f64::from(total)] }
             }
-            ExchangeSays::Tested => Input::ProbeResult { exchange_conn, passed: true, report: None },
+            MessageFromExchange::ProbePassed => {
+                Input::ProbeResult { exchange_conn, passed: true, report: None }
+            }
         };
-        self.later(latency(switch, exchange), Event::Switch(switch, held.start, input));
+        self.later(latency(softswitch, exchange), Event::Switch(softswitch, held.start, input));
     }
 }
--- a/crates/ctl/tests/incidents.rs
+++ b/crates/ctl/tests/incidents.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{Clock, EPOCH, Mesh};
-use swiftlb_emulator::{Incident as Scripted, Kind as Script, Scenario, World};
+use swiftlb_emulator::{MeshModel, Scenario, ScriptedIncident, ScriptedKind};
 use swiftlb_record::Archive;
 use swiftlb_record::merge::Merge;
 use swiftlb_report::incident::{Analysis, Detector, Incident, IncidentKind};
@@ -15,14 +15,19 @@
     std::env::temp_dir().join(format!("swiftlb-{test}-{}", std::process::id()))
 }
 
-fn scripted(at_ms: u64, for_ms: u64, node: usize, kind: Script) -> Scripted {
-    Scripted { at: Duration::from_millis(at_ms), lasts: Duration::from_millis(for_ms), node, kind }
+fn scripted(at_ms: u64, for_ms: u64, node: usize, kind: ScriptedKind) -> ScriptedIncident {
+    ScriptedIncident { at: Duration::from_millis(at_ms), duration: Duration::from_millis(for_ms), node, kind }
 }
 
 /// Plays it and tells its course; times of the course are from the start of the world then, in ms.
-fn course(test: &str, incidents: Vec<Scripted>, seed: u64, clocks: &[Clock]) -> (World, Analysis) {
+fn course(
+    test: &str,
+    incidents: Vec<ScriptedIncident>,
+    seed: u64,
+    clocks: &[Clock],
+) -> (MeshModel, Analysis) {
     let folder = folder(test);
-    let scenario = Scenario { lasts: Duration::from_secs(45), incidents, ..Scenario::default() };
+    let scenario = Scenario { duration: Duration::from_secs(45), incidents, ..Scenario::default() };
     let world = Mesh::play(scenario, seed, clocks, &folder);
     let archive = Archive::open(std::slice::from_ref(&folder));
     assert!(archive.file_errors.is_empty(), "{:?}", archive.file_errors);
@@ -48,8 +53,8 @@
 fn a_calm_day_has_no_incident() {
     for seed in 0..5 {
         let (world, course) = course(&format!("calm-{seed}"), vec![], seed, &[]);
-        assert!(world.service() > 0.9, "seed {seed}: {}", world.service());
-        assert_eq!(world.broken(), 0);
+        assert!(world.service_level() > 0.9, "seed {seed}: {}", world.service_level());
+        assert_eq!(world.protocol_violations(), 0);
         assert_eq!(course.incidents, [], "seed {seed}");
     }
 }
@@ -60,8 +65,8 @@
         let node = 1 + (seed % 4) as usize;
         let (begin, lasts) = (15_000 + 37 * seed, 6_000 + 150 * seed);
         let incidents = vec![
-            scripted(begin - 2_000, 22_000, 0, Script::Lag(Duration::from_secs(6))),
-            scripted(begin, lasts, node, Script::Die),
+            scripted(begin - 2_000, 22_000, 0, ScriptedKind::Lag(Duration::from_secs(6))),
+            scripted(begin, lasts, node, ScriptedKind::Die),
         ];
         let clocks =
             [Clock(0, 0), Clock(80_000, 50), Clock(-40_000, -80), Clock(25_000, 0), Clock(-80_000, 100)];
@@ -111,15 +116,23 @@
 #[test]
 fn a_stall_and_a_slow_processor_are_told_apart() {
     for seed in 0..10 {
-        let (_, stalled) =
-            course(&format!("stall-{seed}"), vec![scripted(15_000, 8_000, 2, Script::Stall)], seed, &[]);
+        let (_, stalled) = course(
+            &format!("stall-{seed}"),
+            vec![scripted(15_000, 8_000, 2, ScriptedKind::Stall)],
+            seed,
+            &[],
+        );
         let stall = all(&stalled, IncidentKind::NodeStalled);
         assert!(stall.len() == 1 && stall[0].exchange == Some(2), "seed {seed}: {:#?}", stalled.incidents);
         assert!((ms(stall[0].begin_us) - 15_000).abs() < 1_500, "seed {seed}: {}", ms(stall[0].begin_us));
         assert!((ms(stall[0].end_us.expect("it went on")) - 23_000).abs() < 1_500, "seed {seed}: {stall:?}");
         assert_eq!(stalled.incidents.len(), 1, "seed {seed}: {:#?}", stalled.incidents);
-        let (_, slowed) =
-            course(&format!("slow-{seed}"), vec![scripted(15_000, 15_000, 3, Script::Slow(4.0))], seed, &[]);
+        let (_, slowed) = course(
+            &format!("slow-{seed}"),
+            vec![scripted(15_000, 15_000, 3, ScriptedKind::Slow(4.0))],
+            seed,
+            &[],
+        );
         let slow = all(&slowed, IncidentKind::NodeSlow);
         assert!(slow.len() == 1 && slow[0].exchange == Some(3), "seed {seed}: {:#?}", slowed.incidents);
         assert!((ms(slow[0].begin_us) - 15_000).abs() < 4_000, "seed {seed}: {}", ms(slow[0].begin_us));
@@ -129,7 +142,7 @@
 
 #[test]
 fn a_node_that_flaps_is_one_incident() {
-    let flaps = (0..8).map(|i| scripted(12_000 + 3_000 * i, 1_200, 2, Script::Die)).collect();
+    let flaps = (0..8).map(|i| scripted(12_000 + 3_000 * i, 1_200, 2, ScriptedKind::Die)).collect();
     let (_, course) = course("flaps", flaps, 4, &[]);
     let deaths = all(&course, IncidentKind::NodeDied);
     assert_eq!(deaths.len(), 1, "{:#?}", course.incidents);
@@ -139,8 +152,10 @@
 #[test]
 fn a_softswitch_that_is_killed_and_starts_again_under_its_name_is_told() {
     for seed in 0..5 {
-        let incidents =
-            vec![scripted(20_000, 4_000, 1, Script::Kill), scripted(21_000, 6_000, 3, Script::Die)];
+        let incidents = vec![
+            scripted(20_000, 4_000, 1, ScriptedKind::Kill),
+            scripted(21_000, 6_000, 3, ScriptedKind::Die),
+        ];
         let (_, course) = course(&format!("kill-{seed}"), incidents, seed, &[Clock(0, 0), Clock(80_000, 50)]);
         let crash = all(&course, IncidentKind::SoftswitchCrashed);
         assert!(crash.len() == 1 && crash[0].softswitch == Some(1), "seed {seed}: {:#?}", course.incidents);
@@ -154,7 +169,7 @@
 
 #[test]
 fn a_replaced_node_did_not_die() {
-    let (_, course) = course("replace", vec![scripted(15_000, 10_000, 2, Script::Replace)], 2, &[]);
+    let (_, course) = course("replace", vec![scripted(15_000, 10_000, 2, ScriptedKind::Replace)], 2, &[]);
     let replaced = all(&course, IncidentKind::NodeReplaced);
     assert!(replaced.len() == 1 && replaced[0].exchange == Some(2), "{:#?}", course.incidents);
 }
--- a/crates/emulator/src/shell.rs
+++ b/crates/emulator/src/loopback.rs
@@ -18,18 +18,21 @@
 use simple_dns::{CLASS, Name, Packet, ResourceRecord};
 use tinyjson::JsonValue;
 
-use crate::config::{Node, born_ms, zone};
-use crate::scenario::{Kind, Scenario};
-use crate::world::{CallerHears, ExchangeHears, ExchangeSays, Input, Listed, Output, SwitchHears, World};
+use crate::config::{SoftswitchConfig, started_ms, zone};
+use crate::model::{
+    Input, ListedExchange, MeshModel, MessageFromCaller, MessageFromExchange, MessageToCaller,
+    MessageToExchange, Output,
+};
+use crate::scenario::{Scenario, ScriptedKind};
 
 /// A softswitch that has not said where it listens by then will not.
 const START: Duration = Duration::from_secs(8);
 /// The longest line of the protocol.
 const LONGEST: usize = 16 * 1024;
 
-/// What the rig needs to know beside the scenario.
+/// What the mesh needs to know beside the scenario.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct RunOptions {
     /// What is played.
     pub scenario: Scenario,
     /// Seed of the world and of the softswitches.
@@ -37,16 +40,16 @@
     /// The softswitch program.
     pub program: PathBuf,
     /// Folder for configurations, logs and records; it is made if it is not there.
-    pub folder: PathBuf,
+    pub directory: PathBuf,
 }
 
 /// What a connection is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     /// From a softswitch to an exchange.
-    Exchange { switch: usize, exchange: usize },
+    Exchange { softswitch: usize, exchange: usize },
     /// From callers to a softswitch.
-    Caller { switch: usize },
+    Caller { softswitch: usize },
 }
 
 #[derive(Debug)]
@@ -68,14 +71,14 @@
 
 /// What a softswitch says in its log.
 enum Word {
-    Serves { switch: usize, start: u32, address: SocketAddr },
-    Operators { switch: usize, address: SocketAddr },
+    Serves { softswitch: usize, start: u32, address: SocketAddr },
+    Operators { softswitch: usize, address: SocketAddr },
 }
 
 /// A world, its sockets and its softswitches. Dropping it ends what it started.
-pub struct Rig {
-    plan: Plan,
-    world: World,
+pub struct LoopbackMesh {
+    options: RunOptions,
+    model: MeshModel,
     began: Instant,
     epoch: SystemTime,
     poll: Poll,
@@ -94,18 +97,18 @@
     out: VecDeque<Output>,
 }
 
-impl Rig {
+impl LoopbackMesh {
     /// Opens all sockets, starts all softswitches and waits until they serve.
     ///
     /// # Errors
     /// If something cannot be had, or a softswitch does not start; its log in the folder says why.
-    pub fn start(plan: Plan) -> io::Result<Self> {
-        fs::create_dir_all(&plan.folder)?;
-        let nodes = plan.scenario.nodes;
+    pub fn start(options: RunOptions) -> io::Result<Self> {
+        fs::create_dir_all(&options.directory)?;
+        let nodes = options.scenario.nodes;
         let poll = Poll::new()?;
         let (speak, words) = channel();
-        let mut rig = Self {
-            world: World::new(plan.scenario.clone(), plan.seed),
+        let mut mesh = Self {
+            model: MeshModel::new(options.scenario.clone(), options.seed),
             began: Instant::now(),
             epoch: SystemTime::now(),
             poll,
@@ -121,35 +124,39 @@
             words,
             speak,
             out: VecDeque::new(),
-            plan,
+            options,
         };
-        for switch in 0..nodes {
+        for softswitch in 0..nodes {
             let mut resolver = UdpSocket::bind(([127, 0, 0, 1], 0).into())?;
-            rig.poll.registry().register(&mut resolver, Token(switch), Interest::READABLE)?;
-            rig.resolvers.push(resolver);
+            mesh.poll.registry().register(&mut resolver, Token(softswitch), Interest::READABLE)?;
+            mesh.resolvers.push(resolver);
             for exchange in 0..nodes {
-                rig.listen(switch, exchange)?;
+                mesh.listen(softswitch, exchange)?;
             }
         }
-        for switch in 0..nodes {
-            rig.launch(switch)?;
+        for softswitch in 0..nodes {
+            mesh.launch(softswitch)?;
         }
         let until = Instant::now() + START;
-        while rig.switches.iter().any(|switch| switch.address.is_none() || switch.operator.is_none()) {
-            if Instant::now() > until || rig.ended() {
-                let logs = rig.plan.folder.display();
+        while mesh
+            .switches
+            .iter()
+            .any(|softswitch| softswitch.address.is_none() || softswitch.operator.is_none())
+        {
+            if Instant::now() > until || mesh.ended() {
+                let logs = mesh.options.directory.display();
                 return Err(io::Error::other(format!("a softswitch does not start: see the logs in {logs}")));
             }
-            rig.turn(Duration::from_millis(20))?;
+            mesh.turn(Duration::from_millis(20))?;
         }
         // The world's time begins with its first call.
-        (rig.began, rig.epoch) = (Instant::now(), SystemTime::now());
-        Ok(rig)
+        (mesh.began, mesh.epoch) = (Instant::now(), SystemTime::now());
+        Ok(mesh)
     }
 
     /// The model.
-    pub fn world(&self) -> &World {
-        &self.world
+    pub fn model(&self) -> &MeshModel {
+        &self.model
     }
 
     /// The moment at which the world began.
@@ -158,42 +165,42 @@
     }
 
     /// Time since then.
-    pub fn now(&self) -> Duration {
+    pub fn elapsed(&self) -> Duration {
         self.began.elapsed()
     }
 
     /// Where operators reach the softswitches.
-    pub fn operators(&self) -> Vec<SocketAddr> {
-        self.switches.iter().filter_map(|switch| switch.operator).collect()
+    pub fn operator_addresses(&self) -> Vec<SocketAddr> {
+        self.switches.iter().filter_map(|softswitch| softswitch.operator).collect()
     }
 
     /// Process ids of the softswitches that run.
-    pub fn processes(&self) -> Vec<u32> {
-        self.switches.iter().filter_map(|switch| Some(switch.child.as_ref()?.id())).collect()
+    pub fn process_ids(&self) -> Vec<u32> {
+        self.switches.iter().filter_map(|softswitch| Some(softswitch.child.as_ref()?.id())).collect()
     }
 
     /// Folder of the records.
-    pub fn records(&self) -> PathBuf {
-        self.plan.folder.join("records")
+    pub fn records_directory(&self) -> PathBuf {
+        self.options.directory.join("records")
     }
 
     /// Plays on for this long at most; says whether there is more to play.
     ///
     /// # Errors
     /// Of the system.
-    pub fn play(&mut self, limit: Duration) -> io::Result<bool> {
+    pub fn run(&mut self, limit: Duration) -> io::Result<bool> {
         let until = Instant::now() + limit;
-        while Instant::now() < until && !self.world.is_over() {
+        while Instant::now() < until && !self.model.is_finished() {
             self.turn(until.saturating_duration_since(Instant::now()))?;
         }
-        Ok(!self.world.is_over())
+        Ok(!self.model.is_finished())
     }
 
     /// Tells the softswitches to end and waits until they have, for this long at most; those that have not by then are
     /// killed. Calls that stand go on for up to 10 s.
-    pub fn finish(&mut self, limit: Duration) {
-        for switch in &self.switches {
-            if let Some(child) = &switch.child {
+    pub fn shut_down(&mut self, limit: Duration) {
+        for softswitch in &self.switches {
+            if let Some(child) = &softswitch.child {
                 terminate(child);
             }
         }
@@ -207,7 +214,7 @@
 
     /// Whether a softswitch has ended by itself.
     fn ended(&mut self) -> bool {
-        self.switches.iter_mut().any(|switch| switch.child.is_some() && !switch.runs())
+        self.switches.iter_mut().any(|softswitch| softswitch.child.is_some() && !softswitch.runs())
     }
 
     fn token(&mut self) -> Token {
@@ -217,47 +224,48 @@
 
     // ---- softswitches ----
 
-    fn listen(&mut self, switch: usize, exchange: usize) -> io::Result<()> {
-        let address = self.ports.get(&(switch, exchange)).copied();
+    fn listen(&mut self, softswitch: usize, exchange: usize) -> io::Result<()> {
+        let address = self.ports.get(&(softswitch, exchange)).copied();
         let mut listener = TcpListener::bind(address.unwrap_or(([127, 0, 0, 1], 0).into()))?;
-        self.ports.insert((switch, exchange), listener.local_addr()?);
+        self.ports.insert((softswitch, exchange), listener.local_addr()?);
         let token = self.token();
         self.poll.registry().register(&mut listener, token, Interest::READABLE)?;
-        self.listener_tokens.insert(token, (switch, exchange));
-        self.listeners.insert((switch, exchange), (token, listener));
+        self.listener_tokens.insert(token, (softswitch, exchange));
+        self.listeners.insert((softswitch, exchange), (token, listener));
         Ok(())
     }
 
     /// Starts the process of a softswitch; where it listened before, it listens again.
-    fn launch(&mut self, switch: usize) -> io::Result<()> {
+    fn launch(&mut self, softswitch: usize) -> io::Result<()> {
         self.starts += 1;
-        let (start, folder) = (self.starts, self.plan.folder.clone());
+        let (start, folder) = (self.starts, self.options.directory.clone());
         let (config, edge) =
-            (folder.join(format!("n{switch}.json")), folder.join(format!("n{switch}-edge.json")));
-        fs::write(&config, self.config(switch)?)?;
-        fs::write(&edge, self.edge(switch))?;
-        let mut command = Command::new(&self.plan.program);
+            (folder.join(format!("n{softswitch}.json")), folder.join(format!("n{softswitch}-edge.json")));
+        fs::write(&config, self.config(softswitch)?)?;
+        fs::write(&edge, self.edge(softswitch))?;
+        let mut command = Command::new(&self.options.program);
         command.args(["serve", "--log-format", "json", "--config"]).arg(&config).arg("--edge").arg(&edge);
         command.env_remove("NODE_CONFIG").env_remove("NODE_FD").env_remove("NODE_OPERATOR");
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         let mut child = command.spawn()?;
-        let log = File::options().create(true).append(true).open(folder.join(format!("n{switch}.log")))?;
+        let log =
+            File::options().create(true).append(true).open(folder.join(format!("n{softswitch}.log")))?;
         if let Some(errors) = child.stderr.take() {
             let speak = self.speak.clone();
-            let read = move || read_log(switch, start, BufReader::new(errors), log, &speak);
-            std::thread::Builder::new().name(format!("log of n{switch}")).spawn(read)?;
+            let read = move || read_log(softswitch, start, BufReader::new(errors), log, &speak);
+            std::thread::Builder::new().name(format!("log of n{softswitch}")).spawn(read)?;
         }
-        self.switches[switch].child = Some(child);
+        self.switches[softswitch].child = Some(child);
         Ok(())
     }
 
-    fn edge(&self, switch: usize) -> String {
-        let clock = self.plan.scenario.incidents.iter().find_map(|incident| match incident.kind {
-            Kind::Clock(ahead, drift) if incident.node == switch => Some((ahead, drift)),
+    fn edge(&self, softswitch: usize) -> String {
+        let clock = self.options.scenario.incidents.iter().find_map(|incident| match incident.kind {
+            ScriptedKind::Clock(ahead, drift) if incident.node == softswitch => Some((ahead, drift)),
             _ => None,
         });
         let (ahead, drift) = clock.unwrap_or_default();
-        let directory = quoted(&self.records().to_string_lossy());
+        let directory = quoted(&self.records_directory().to_string_lossy());
         format!(
             "{{\"records\":{{\"enabled\":true,\"directory\":{directory}}},\n\
              \"rehearsal\":{{\"clock_ahead_ms\":{ahead},\"clock_drift_ppm\":{drift}}},\n\
@@ -265,30 +273,38 @@
         )
     }
 
-    fn config(&mut self, switch: usize) -> io::Result<String> {
+    fn config(&mut self, softswitch: usize) -> io::Result<String> {
         let now = self.began.elapsed();
-        let names = self.resolvers[switch].local_addr()?;
+        let resolver = self.resolvers[softswitch].local_addr()?;
         let any: SocketAddr = ([127, 0, 0, 1], 0).into();
-        let listen = self.switches[switch].address.unwrap_or(any);
-        let operator = self.switches[switch].operator.unwrap_or(any);
-        let (serial, list) = self.world.list(now);
-        let list: Vec<(Listed, SocketAddr)> =
-            list.iter().map(|entry| (entry.clone(), self.ports[&(switch, entry.exchange)])).collect();
-        let nodes = self.plan.scenario.nodes;
-        let node = Node { switch, nodes, listen, operator, names, seed: self.plan.seed, epoch: self.epoch };
-        Ok(node.config(serial, &list))
+        let listen = self.switches[softswitch].address.unwrap_or(any);
+        let operator = self.switches[softswitch].operator.unwrap_or(any);
+        let (serial, list) = self.model.list(now);
+        let list: Vec<(ListedExchange, SocketAddr)> =
+            list.iter().map(|entry| (entry.clone(), self.ports[&(softswitch, entry.exchange)])).collect();
+        let node_count = self.options.scenario.nodes;
+        let config = SoftswitchConfig {
+            number: softswitch,
+            node_count,
+            listen,
+            operator,
+            resolver,
+            seed: self.options.seed,
+            epoch: self.epoch,
+        };
+        Ok(config.to_json(serial, &list))
     }
 
     // ---- the loop ----
 
     fn input(&mut self, input: Input) {
         let mut out = Vec::new();
-        self.world.handle(self.began.elapsed(), input, &mut out);
+        self.model.handle(self.began.elapsed(), input, &mut out);
         self.out.extend(out);
     }
 
     fn turn(&mut self, limit: Duration) -> io::Result<()> {
-        let next = self.world.next_wake().map(|at| at.saturating_sub(self.began.elapsed()));
+        let next = self.model.next_wake().map(|at| at.saturating_sub(self.began.elapsed()));
         // Words of the logs come without waking this loop.
         let wait = next.unwrap_or(limit).min(limit).min(Duration::from_millis(20));
         match self.poll.poll(&mut self.events, Some(wait)) {
@@ -299,18 +315,18 @@
         for token in tokens {
             if token.0 < self.resolvers.len() {
                 self.resolve(token.0);
-            } else if let Some((switch, exchange)) = self.listener_tokens.get(&token).copied() {
-                self.accept(switch, exchange);
+            } else if let Some((softswitch, exchange)) = self.listener_tokens.get(&token).copied() {
+                self.accept(softswitch, exchange);
             } else {
                 self.read(token);
             }
         }
-        while let Ok(word) = self.words.try_recv() {
-            self.hear_log(word);
+        while let Ok(message) = self.words.try_recv() {
+            self.hear_log(message);
         }
-        for switch in 0..self.switches.len() {
-            if self.switches[switch].child.is_some() && !self.switches[switch].runs() {
-                self.lose_switch(switch);
+        for softswitch in 0..self.switches.len() {
+            if self.switches[softswitch].child.is_some() && !self.switches[softswitch].runs() {
+                self.lose_switch(softswitch);
             }
         }
         self.input(Input::Wake);
@@ -320,63 +336,63 @@
         Ok(())
     }
 
-    fn hear_log(&mut self, word: Word) {
-        match word {
-            Word::Operators { switch, address } => self.switches[switch].operator = Some(address),
-            Word::Serves { switch, start, address } => {
+    fn hear_log(&mut self, message: Word) {
+        match message {
+            Word::Operators { softswitch, address } => self.switches[softswitch].operator = Some(address),
+            Word::Serves { softswitch, start, address } => {
                 if start + self.switches.len() as u32 > self.starts {
-                    self.switches[switch].address = Some(address);
-                    self.input(Input::SwitchUp(switch));
+                    self.switches[softswitch].address = Some(address);
+                    self.input(Input::SoftswitchUp(softswitch));
                 }
             }
         }
     }
 
-    fn lose_switch(&mut self, switch: usize) {
-        self.switches[switch].child = None;
-        if let Some(token) = self.switches[switch].link.take() {
+    fn lose_switch(&mut self, softswitch: usize) {
+        self.switches[softswitch].child = None;
+        if let Some(token) = self.switches[softswitch].link.take() {
             self.connections.remove(&token);
         }
-        self.input(Input::SwitchDown(switch));
+        self.input(Input::SoftswitchDown(softswitch));
     }
 
     fn perform(&mut self, output: Output) -> io::Result<()> {
         match output {
-            Output::FromCaller { switch, call, word } => self.send_caller(switch, call, &word),
-            Output::FromExchange { switch, exchange, call, word } => {
-                let role = Role::Exchange { switch, exchange };
+            Output::FromCaller { softswitch, call, message } => self.send_caller(softswitch, call, &message),
+            Output::FromExchange { softswitch, exchange, call, message } => {
+                let role = Role::Exchange { softswitch, exchange };
                 // On the newest: an older one may be about to be closed.
                 let open =
                     self.connections.iter().filter(|(_, held)| held.role == role).map(|(token, _)| *token);
                 if let Some(token) = open.max() {
-                    self.send(token, &exchange_line(call, &word));
+                    self.send(token, &exchange_line(call, &message));
                 }
             }
-            Output::Shut(exchange) => {
+            Output::ExchangeDown(exchange) => {
                 let gone = |role: &Role| matches!(role, Role::Exchange { exchange: e, .. } if *e == exchange);
                 self.connections.retain(|_, held| !gone(&held.role));
                 self.listeners.retain(|(_, e), _| *e != exchange);
                 self.listener_tokens.retain(|_, (_, e)| *e != exchange);
             }
-            Output::Open(exchange) => {
-                for switch in 0..self.switches.len() {
-                    self.listen(switch, exchange)?;
+            Output::ExchangeUp(exchange) => {
+                for softswitch in 0..self.switches.len() {
+                    self.listen(softswitch, exchange)?;
                 }
             }
-            Output::Kill(switch) => {
-                self.switches[switch].kill();
-                self.lose_switch(switch);
+            Output::KillSoftswitch(softswitch) => {
+                self.switches[softswitch].kill();
+                self.lose_switch(softswitch);
             }
-            Output::Start(switch) => self.launch(switch)?,
+            Output::StartSoftswitch(softswitch) => self.launch(softswitch)?,
         }
         Ok(())
     }
 
-    fn accept(&mut self, switch: usize, exchange: usize) {
-        while let Some((_, listener)) = self.listeners.get(&(switch, exchange)) {
+    fn accept(&mut self, softswitch: usize, exchange: usize) {
+        while let Some((_, listener)) = self.listeners.get(&(softswitch, exchange)) {
             let Ok((stream, _)) = listener.accept() else { return };
-            if self.keep(stream, Role::Exchange { switch, exchange }).is_some() {
-                self.input(Input::WayUp { switch, exchange });
+            if self.keep(stream, Role::Exchange { softswitch, exchange }).is_some() {
+                self.input(Input::ExchangeConnected { softswitch, exchange });
             }
         }
     }
@@ -391,14 +407,14 @@
         Some(token)
     }
 
-    fn send_caller(&mut self, switch: usize, call: u64, word: &SwitchHears) {
-        let line = caller_line(call, word);
-        if self.switches[switch].link.is_none_or(|token| !self.connections.contains_key(&token)) {
-            let Some(address) = self.switches[switch].address else { return };
+    fn send_caller(&mut self, softswitch: usize, call: u64, message: &MessageFromCaller) {
+        let line = caller_line(call, message);
+        if self.switches[softswitch].link.is_none_or(|token| !self.connections.contains_key(&token)) {
+            let Some(address) = self.switches[softswitch].address else { return };
             let Ok(stream) = TcpStream::connect(address) else { return };
-            self.switches[switch].link = self.keep(stream, Role::Caller { switch });
+            self.switches[softswitch].link = self.keep(stream, Role::Caller { softswitch });
         }
-        if let Some(token) = self.switches[switch].link {
+        if let Some(token) = self.switches[softswitch].link {
             self.send(token, &line);
         }
     }
@@ -464,26 +480,26 @@
 
     // ---- the resolver ----
 
-    fn resolve(&mut self, switch: usize) {
+    fn resolve(&mut self, softswitch: usize) {
         let mut query = [0; 512];
-        while let Ok((length, from)) = self.resolvers[switch].recv_from(&mut query) {
+        while let Ok((length, from)) = self.resolvers[softswitch].recv_from(&mut query) {
             if length < 12 {
                 continue;
             }
             let id = u16::from_be_bytes([query[0], query[1]]);
             let (now, epoch) = (self.began.elapsed(), self.epoch);
-            let (serial, list) = self.world.list(now);
-            let list: Vec<(Listed, SocketAddr)> =
-                list.iter().map(|entry| (entry.clone(), self.ports[&(switch, entry.exchange)])).collect();
+            let (serial, list) = self.model.list(now);
+            let list: Vec<(ListedExchange, SocketAddr)> =
+                list.iter().map(|entry| (entry.clone(), self.ports[&(softswitch, entry.exchange)])).collect();
             if let Ok(answer) = answer(id, serial, &list, epoch) {
                 // A lost answer is asked for again.
-                let _ = self.resolvers[switch].send_to(&answer, from);
+                let _ = self.resolvers[softswitch].send_to(&answer, from);
             }
         }
     }
 }
 
-impl Drop for Rig {
+impl Drop for LoopbackMesh {
     fn drop(&mut self) {
         self.switches.iter_mut().for_each(Switch::kill);
     }
@@ -511,7 +527,7 @@
 }
 
 /// Copies a log to its file and tells where the softswitch listens.
-fn read_log(switch: usize, start: u32, from: impl BufRead, mut to: File, speak: &Sender<Word>) {
+fn read_log(softswitch: usize, start: u32, from: impl BufRead, mut to: File, speak: &Sender<Word>) {
     for line in from.lines().map_while(Result::ok) {
         let _ = writeln!(to, "{line}");
         let Ok(json) = line.parse::<JsonValue>() else { continue };
@@ -520,12 +536,12 @@
         };
         let message = field("message");
         let Some(address) = field("address").and_then(|address| address.parse().ok()) else { continue };
-        let word = match message.as_deref() {
-            Some("serves") => Word::Serves { switch, start, address },
-            Some("operators") => Word::Operators { switch, address },
+        let message = match message.as_deref() {
+            Some("serves") => Word::Serves { softswitch, start, address },
+            Some("operators") => Word::Operators { softswitch, address },
             _ => continue,
         };
-        if speak.send(word).is_err() {
+        if speak.send(message).is_err() {
             return;
         }
     }
@@ -535,39 +551,39 @@
     JsonValue::String(text.to_owned()).stringify().unwrap_or_default()
 }
 
-fn caller_line(call: u64, word: &SwitchHears) -> String {
-    match word {
-        SwitchHears::SetUp { class, left, dest, transit_from } => {
+fn caller_line(call: u64, message: &MessageFromCaller) -> String {
+    match message {
+        MessageFromCaller::SetUp { class, remaining, dest, transit_from } => {
             let via = transit_from.map_or("-1".to_owned(), |from| from.to_string());
             let transit = if transit_from.is_some() { ";transit:1" } else { "" };
             format!(
                 "{{\"kind\":\"launch\",\"uid\":\"{call:016x}\",\"meta\":{{\"class\":\"{class}\",\"left\":\"{}\",\"key\":\"{call:016x}\",\
                  \"extras\":\"dest:{dest};width:1;via:{via}{transit}\"}},\"body\":\"v=0\\r\\n\"}}\n",
-                left.as_millis()
+                remaining.as_millis()
             )
         }
-        SwitchHears::Stop => {
+        MessageFromCaller::HangUp => {
             format!("{{\"kind\":\"stop\",\"uid\":\"{call:016x}\",\"meta\":{{}},\"reason\":16}}\n")
         }
     }
 }
 
-fn exchange_line(call: u64, word: &ExchangeSays) -> String {
-    match word {
-        ExchangeSays::Answer => {
+fn exchange_line(call: u64, message: &MessageFromExchange) -> String {
+    match message {
+        MessageFromExchange::Answered => {
             format!("{{\"kind\":\"running\",\"uid\":\"{call:016x}\",\"meta\":{{}},\"body\":\"v=0\\r\\n\"}}\n")
         }
-        ExchangeSays::Stop(cause, note, waited) => {
+        MessageFromExchange::Ended(cause, note, waited) => {
             let meta = match *note {
                 "" => String::new(),
                 note => format!("\"note\":\"{note}\",\"waited\":\"{}\"", waited.as_millis()),
             };
             format!("{{\"kind\":\"stop\",\"uid\":\"{call:016x}\",\"meta\":{{{meta}}},\"reason\":{cause}}}\n")
         }
-        ExchangeSays::Group(free, total) => format!(
+        MessageFromExchange::GroupState(free, total) => format!(
             "{{\"kind\":\"usage\",\"uid\":\"{call:016x}\",\"meta\":{{\"load\":\"spare:{free};total:{total}\"}}}}\n"
         ),
-        ExchangeSays::Tested => {
+        MessageFromExchange::ProbePassed => {
             format!("{{\"kind\":\"checked\",\"uid\":\"{call:016x}\",\"meta\":{{}},\"reason\":1}}\n")
         }
     }
@@ -581,18 +597,18 @@
     let call = u64::from_str_radix(text("uid")?, 16).ok()?;
     let kind = text("kind")?;
     match role {
-        Role::Exchange { switch, exchange } => {
-            let word = match kind {
-                "launch" => ExchangeHears::SetUp,
-                "stop" => ExchangeHears::Stop,
-                "check" => ExchangeHears::Test,
+        Role::Exchange { softswitch, exchange } => {
+            let message = match kind {
+                "launch" => MessageToExchange::SetUp,
+                "stop" => MessageToExchange::Release,
+                "check" => MessageToExchange::Probe,
                 _ => return None,
             };
-            Some(Input::ToExchange { switch, exchange, call, word })
+            Some(Input::ToExchange { softswitch, exchange, call, message })
         }
-        Role::Caller { switch } => {
-            let word = match kind {
-                "running" => CallerHears::Answer,
+        Role::Caller { softswitch } => {
+            let message = match kind {
+                "running" => MessageToCaller::Answered,
                 "stop" => {
                     let cause = top.get("reason")?.get::<f64>().copied()? as u8;
                     let meta = top.get("meta").and_then(|meta| meta.get::<HashMap<String, JsonValue>>());
@@ -602,11 +618,11 @@
                         _ => None,
                     });
                     let wait = Duration::from_secs_f64(wait.unwrap_or(0.0).clamp(0.0, 60_000.0) / 1e3);
-                    CallerHears::Stop(cause, wait)
+                    MessageToCaller::Ended(cause, wait)
                 }
                 _ => return None,
             };
-            Some(Input::ToCaller { switch, call, word })
+            Some(Input::ToCaller { softswitch, call, message })
         }
     }
 }
@@ -615,7 +631,7 @@
 fn answer(
     id: u16,
     serial: u32,
-    list: &[(Listed, SocketAddr)],
+    list: &[(ListedExchange, SocketAddr)],
     epoch: SystemTime,
 ) -> Result<Vec<u8>, simple_dns::SimpleDnsError> {
     let service = Name::new("_api._tcp.svc.local")?;
@@ -633,7 +649,7 @@
         packet.answers.push(record(&service, RData::SRV(srv)));
         packet.additional_records.push(record(&target, RData::A(A { address: 0x7f00_0001 })));
         let (cell, started) =
-            (format!("cell={}", entry.exchange), format!("started={}", born_ms(epoch, entry.born)));
+            (format!("cell={}", entry.exchange), format!("started={}", started_ms(epoch, entry.started_at)));
         let text =
             TXT::new().with_string("kind=std")?.with_string(&cell)?.with_string(&started)?.into_owned();
         packet.additional_records.push(record(&target, RData::TXT(text)));
@@ -645,7 +661,7 @@
 }
 
 /// A program of this name that lies beside another one, or a folder above it, as cargo puts those of a workspace.
-pub fn beside(program: &Path, name: &str) -> Option<PathBuf> {
+pub fn find_program(program: &Path, name: &str) -> Option<PathBuf> {
     let folder = program.parent()?;
     [folder, folder.parent()?].iter().map(|folder| folder.join(name)).find(|path| path.is_file())
 }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/model.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::scenario::{CLASSES, Incident, Kind, Scenario};
+use crate::scenario::{CLASSES, Scenario, ScriptedIncident, ScriptedKind};
 
 /// A processor turns set-ups away once its wait passes this.
 const FULL: Duration = Duration::from_millis(3_000);
@@ -28,53 +28,53 @@
 
 /// What a softswitch hears from its callers: subscribers, or exchanges with calls in transit.
 #[derive(Clone, Debug, PartialEq)]
-pub enum SwitchHears {
+pub enum MessageFromCaller {
     /// A set-up.
     SetUp {
         /// Name of the class.
         class: &'static str,
         /// How long the caller waits.
-        left: Duration,
+        remaining: Duration,
         /// The exchange it is for.
         dest: usize,
         /// Where a call in transit comes from.
         transit_from: Option<usize>,
     },
     /// The set-up is given up, or the call that stands is released.
-    Stop,
+    HangUp,
 }
 
 /// What callers hear from a softswitch.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum CallerHears {
+pub enum MessageToCaller {
     /// The call stands.
-    Answer,
+    Answered,
     /// Refused, failed or over, with a cause and how long to stay away.
-    Stop(u8, Duration),
+    Ended(u8, Duration),
 }
 
 /// What an exchange hears from a softswitch.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum ExchangeHears {
+pub enum MessageToExchange {
     /// Set the call up.
     SetUp,
     /// The set-up is given up, or the call is over.
-    Stop,
+    Release,
     /// A test.
-    Test,
+    Probe,
 }
 
 /// What an exchange says to a softswitch.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum ExchangeSays {
+pub enum MessageFromExchange {
     /// The call stands.
-    Answer,
+    Answered,
     /// It does not, or no longer: cause, note, wait at the full processor.
-    Stop(u8, &'static str, Duration),
+    Ended(u8, &'static str, Duration),
     /// Free circuits of the group between the two, and its size.
-    Group(u32, u32),
+    GroupState(u32, u32),
     /// The test is passed.
-    Tested,
+    ProbePassed,
 }
 
 /// Something that has happened outside.
@@ -83,35 +83,35 @@
     /// Only time has passed.
     Wake,
     /// A softswitch takes calls.
-    SwitchUp(usize),
+    SoftswitchUp(usize),
     /// It is gone.
-    SwitchDown(usize),
+    SoftswitchDown(usize),
     /// It has opened a way to an exchange.
-    WayUp {
+    ExchangeConnected {
         /// The softswitch.
-        switch: usize,
+        softswitch: usize,
         /// The exchange.
         exchange: usize,
     },
     /// It says something to an exchange.
     ToExchange {
         /// The softswitch.
-        switch: usize,
+        softswitch: usize,
         /// The exchange.
         exchange: usize,
         /// The call.
         call: u64,
         /// What.
-        word: ExchangeHears,
+        message: MessageToExchange,
     },
     /// It says something to a caller.
     ToCaller {
         /// The softswitch.
-        switch: usize,
+        softswitch: usize,
         /// The call.
         call: u64,
         /// What.
-        word: CallerHears,
+        message: MessageToCaller,
     },
 }
 
@@ -121,49 +121,49 @@
     /// A caller says something to a softswitch.
     FromCaller {
         /// The softswitch.
-        switch: usize,
+        softswitch: usize,
         /// The call.
         call: u64,
         /// What.
-        word: SwitchHears,
+        message: MessageFromCaller,
     },
     /// An exchange does.
     FromExchange {
         /// The softswitch.
-        switch: usize,
+        softswitch: usize,
         /// The exchange.
         exchange: usize,
         /// The call; 0 for none.
         call: u64,
         /// What.
-        word: ExchangeSays,
+        message: MessageFromExchange,
     },
     /// An exchange's process is gone: its ways break, and none comes up.
-    Shut(usize),
+    ExchangeDown(usize),
     /// It is there again.
-    Open(usize),
+    ExchangeUp(usize),
     /// Kill a softswitch's process.
-    Kill(usize),
+    KillSoftswitch(usize),
     /// Start it again.
-    Start(usize),
+    StartSoftswitch(usize),
 }
 
 /// A line of the list of exchanges.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedExchange {
     /// Its name.
     pub name: String,
     /// Its number.
     pub exchange: usize,
     /// When its processor last started, from the start of the world; `None` for long ago.
-    pub born: Option<Duration>,
+    pub started_at: Option<Duration>,
     /// It finishes what it has.
     pub draining: bool,
 }
 
 /// How the calls of one class have gone: first tries, those that follow count with them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Summary {
+pub struct ClassTotals {
     /// Calls offered.
     pub offered: u64,
     /// Stood within the wanted time.
@@ -238,7 +238,7 @@
 
 /// The mesh.
 #[derive(Debug)]
-pub struct World {
+pub struct MeshModel {
     scenario: Scenario,
     rng: Pcg64Mcg,
     now: Duration,
@@ -251,12 +251,12 @@
     weights: Vec<f64>,
     work: f64,
     /// Lists that have counted, when they began to, and how many of them are told by now.
-    lists: Vec<(Duration, Vec<Listed>)>,
+    lists: Vec<(Duration, Vec<ListedExchange>)>,
     told: usize,
     lag: Duration,
     /// Ends that a softswitch that is down has still to hear.
-    owed: Vec<(usize, usize, u64, ExchangeSays)>,
-    summary: [Summary; CLASSES.len()],
+    owed: Vec<(usize, usize, u64, MessageFromExchange)>,
+    summary: [ClassTotals; CLASSES.len()],
     /// Set-ups that no caller made, and second attempts while one is out: never, if the rules are kept.
     broken: u64,
 }
@@ -265,13 +265,13 @@
     (a.min(b), a.max(b))
 }
 
-impl World {
+impl MeshModel {
     /// A world that is about to begin.
     pub fn new(scenario: Scenario, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let nodes = scenario.nodes;
-        let held: f64 = CLASSES.iter().map(|class| class.share * class.hold.as_secs_f64()).sum();
-        let load = 2.0 * scenario.rate * held / (nodes * (nodes - 1)) as f64;
+        let held: f64 = CLASSES.iter().map(|class| class.share * class.mean_hold.as_secs_f64()).sum();
+        let load = 2.0 * scenario.calls_per_s * held / (nodes * (nodes - 1)) as f64;
         let mut groups = BTreeMap::new();
         for a in 0..nodes {
             for b in a + 1..nodes {
@@ -292,7 +292,7 @@
             job: 0,
             starts: 0,
         };
-        let work = (PLANNED * nodes as f64 / scenario.rate.max(0.1) / 1.15).min(MOST_WORK);
+        let work = (PLANNED * nodes as f64 / scenario.calls_per_s.max(0.1) / 1.15).min(MOST_WORK);
         let mut world = Self {
             rng,
             now: Duration::ZERO,
@@ -306,9 +306,9 @@
             work,
             lists: Vec::new(),
             told: 0,
-            lag: scenario.lag,
+            lag: scenario.list_lag,
             owed: Vec::new(),
-            summary: [Summary::default(); CLASSES.len()],
+            summary: [ClassTotals::default(); CLASSES.len()],
             broken: 0,
             scenario,
         };
@@ -317,7 +317,7 @@
         world.set(SHIFT, Timer::Shift);
         for (i, incident) in world.scenario.incidents.clone().iter().enumerate() {
             world.set(incident.at, Timer::Begin(i));
-            world.set(incident.at + incident.lasts, Timer::Over(i));
+            world.set(incident.at + incident.duration, Timer::Over(i));
         }
         world
     }
@@ -333,38 +333,38 @@
     }
 
     /// Whether all is over.
-    pub fn is_over(&self) -> bool {
-        let end = self.scenario.lasts;
+    pub fn is_finished(&self) -> bool {
+        let end = self.scenario.duration;
         self.now >= end + GRACE || (self.now >= end && self.calls.is_empty())
     }
 
     /// How the calls have gone, by class in the order of [`CLASSES`].
-    pub fn summary(&self) -> [Summary; CLASSES.len()] {
+    pub fn totals(&self) -> [ClassTotals; CLASSES.len()] {
         self.summary
     }
 
     /// Set-ups that no caller made, and second attempts while one was out.
-    pub fn broken(&self) -> u64 {
+    pub fn protocol_violations(&self) -> u64 {
         self.broken
     }
 
     /// Worth of the calls that stood in time or late and were not cut, over the worth offered.
-    pub fn service(&self) -> f64 {
+    pub fn service_level(&self) -> f64 {
         let classes = || self.summary.iter().zip(CLASSES);
         let offered: f64 = classes().map(|(s, class)| s.offered as f64 * class.worth).sum();
         let earned = classes().map(|(s, class)| {
-            (s.in_time.saturating_sub(s.cut) as f64 + class.late * s.late as f64) * class.worth
+            (s.in_time.saturating_sub(s.cut) as f64 + class.late_worth_factor * s.late as f64) * class.worth
         });
         if offered > 0.0 { earned.sum::<f64>() / offered } else { 1.0 }
     }
 
     /// Whether the process of an exchange runs.
-    pub fn is_alive(&self, exchange: usize) -> bool {
+    pub fn is_exchange_running(&self, exchange: usize) -> bool {
         self.exchanges[exchange].alive
     }
 
     /// The list of exchanges as the resolver tells it now, and its serial.
-    pub fn list(&mut self, now: Duration) -> (u32, &[Listed]) {
+    pub fn list(&mut self, now: Duration) -> (u32, &[ListedExchange]) {
         self.now = self.now.max(now);
         // What was told once stays told, however far the list lags behind later on.
         while self.lists.get(self.told + 1).is_some_and(|(at, _)| *at + self.lag <= self.now) {
@@ -390,15 +390,15 @@
         self.now = self.now.max(now);
         match input {
             Input::Wake => {}
-            Input::SwitchUp(switch) => self.switches[switch] = true,
-            Input::SwitchDown(switch) => self.lose_switch(switch, out),
-            Input::WayUp { switch, exchange } => self.way_up(switch, exchange, out),
-            Input::ToExchange { switch, exchange, call, word } => {
+            Input::SoftswitchUp(softswitch) => self.switches[softswitch] = true,
+            Input::SoftswitchDown(softswitch) => self.lose_switch(softswitch, out),
+            Input::ExchangeConnected { softswitch, exchange } => self.way_up(softswitch, exchange, out),
+            Input::ToExchange { softswitch, exchange, call, message } => {
                 if self.exchanges[exchange].alive {
-                    self.hear_switch(switch, exchange, call, word, out);
+                    self.hear_switch(softswitch, exchange, call, message, out);
                 }
             }
-            Input::ToCaller { switch, call, word } => self.hear_caller(switch, call, word, out),
+            Input::ToCaller { softswitch, call, message } => self.hear_caller(softswitch, call, message, out),
         }
     }
 
@@ -413,7 +413,11 @@
             }
             Timer::GiveUp(call) => {
                 if let Some(held) = self.calls.get(&call).filter(|held| held.waiting) {
-                    out.push(Output::FromCaller { switch: held.origin, call, word: SwitchHears::Stop });
+                    out.push(Output::FromCaller {
+                        softswitch: held.origin,
+                        call,
+                        message: MessageFromCaller::HangUp,
+                    });
                     self.unanswered(call, Duration::ZERO);
                 }
             }
@@ -429,10 +433,10 @@
     // ---- callers ----
 
     fn arrive(&mut self, out: &mut Vec<Output>) {
-        if self.now >= self.scenario.lasts || self.scenario.rate <= 0.0 {
+        if self.now >= self.scenario.duration || self.scenario.calls_per_s <= 0.0 {
             return;
         }
-        let gap = -self.rng.random::<f64>().max(1e-12).ln() / self.scenario.rate;
+        let gap = -self.rng.random::<f64>().max(1e-12).ln() / self.scenario.calls_per_s;
         self.set(self.now + Duration::from_secs_f64(gap), Timer::Arrival);
         if self.now.is_zero() {
             return;
@@ -467,11 +471,12 @@
         let Some(held) = self.calls.get_mut(&call) else { return };
         let class = CLASSES[held.class];
         held.waiting = true;
-        let left = class.limit.mul_f64(TRY);
-        let (switch, dest) = (held.origin, held.dest);
-        if self.switches[switch] {
-            let word = SwitchHears::SetUp { class: class.name, left, dest, transit_from: None };
-            out.push(Output::FromCaller { switch, call, word });
+        let left = class.abandon_after.mul_f64(TRY);
+        let (softswitch, dest) = (held.origin, held.dest);
+        if self.switches[softswitch] {
+            let message =
+                MessageFromCaller::SetUp { class: class.name, remaining: left, dest, transit_from: None };
+            out.push(Output::FromCaller { softswitch, call, message });
         }
         self.set(self.now + left, Timer::GiveUp(call));
     }
@@ -484,7 +489,7 @@
         let next = Call { tries: tries + 1, legs: Vec::new(), ..held.clone() };
         self.forget_if_over(call);
         let pause = wait.max(Duration::from_secs_f64(self.rng.random_range(0.5..2.0)));
-        if tries < REDIALS && self.now + pause < first + CLASSES[class].limit {
+        if tries < REDIALS && self.now + pause < first + CLASSES[class].abandon_after {
             // Every try has an id of its own.
             let again = self.rng.random::<u64>();
             self.calls.insert(again, next);
@@ -494,101 +499,119 @@
         }
     }
 
-    fn hear_caller(&mut self, switch: usize, call: u64, word: CallerHears, out: &mut Vec<Output>) {
+    fn hear_caller(&mut self, softswitch: usize, call: u64, message: MessageToCaller, out: &mut Vec<Output>) {
         let Some(held) = self.calls.get_mut(&call) else { return };
-        if held.origin != switch {
-            return self.hear_transit(switch, call, word, out);
+        if held.origin != softswitch {
+            return self.hear_transit(softswitch, call, message, out);
         }
-        match word {
-            CallerHears::Answer if held.waiting => {
+        match message {
+            MessageToCaller::Answered if held.waiting => {
                 (held.waiting, held.stands) = (false, true);
                 let (class, took) = (held.class, self.now - held.first);
                 let summary = &mut self.summary[class];
-                if took <= CLASSES[class].aim {
+                if took <= CLASSES[class].target_setup {
                     summary.in_time += 1;
                 } else {
                     summary.late += 1;
                 }
             }
-            CallerHears::Stop(cause, _) if held.stands => {
+            MessageToCaller::Ended(cause, _) if held.stands => {
                 held.stands = false;
                 self.summary[held.class].cut += u64::from(cause != 16);
                 self.forget_if_over(call);
             }
-            CallerHears::Stop(_, wait) if held.waiting => self.unanswered(call, wait),
+            MessageToCaller::Ended(_, wait) if held.waiting => self.unanswered(call, wait),
             _ => {}
         }
     }
 
     /// A softswitch has answered for a call in transit: the tandem passes that back.
-    fn hear_transit(&mut self, switch: usize, call: u64, word: CallerHears, out: &mut Vec<Output>) {
+    fn hear_transit(
+        &mut self,
+        softswitch: usize,
+        call: u64,
+        message: MessageToCaller,
+        out: &mut Vec<Output>,
+    ) {
         let Some(held) = self.calls.get_mut(&call) else { return };
-        let Some(leg) = held.legs.iter_mut().find(|leg| leg.to == switch) else { return };
+        let Some(leg) = held.legs.iter_mut().find(|leg| leg.to == softswitch) else { return };
         let back = leg.from;
-        match word {
-            CallerHears::Answer => {
+        match message {
+            MessageToCaller::Answered => {
                 leg.phase = Phase::Standing;
-                self.say(back, switch, call, ExchangeSays::Answer, out);
+                self.say(back, softswitch, call, MessageFromExchange::Answered, out);
             }
-            CallerHears::Stop(cause, _) => {
+            MessageToCaller::Ended(cause, _) => {
                 let stood = leg.phase == Phase::Standing;
-                let word = if stood {
-                    ExchangeSays::Stop(cause, "", Duration::ZERO)
+                let message = if stood {
+                    MessageFromExchange::Ended(cause, "", Duration::ZERO)
                 } else {
-                    ExchangeSays::Stop(34, "tandem_refused", Duration::ZERO)
+                    MessageFromExchange::Ended(34, "tandem_refused", Duration::ZERO)
                 };
-                self.drop_leg(call, back, switch, out);
-                self.say(back, switch, call, word, out);
+                self.drop_leg(call, back, softswitch, out);
+                self.say(back, softswitch, call, message, out);
             }
         }
     }
 
     // ---- exchanges ----
 
-    fn say(&mut self, switch: usize, exchange: usize, call: u64, word: ExchangeSays, out: &mut Vec<Output>) {
-        if self.switches[switch] {
-            out.push(Output::FromExchange { switch, exchange, call, word });
-        } else if matches!(word, ExchangeSays::Stop(..)) {
-            self.owed.push((switch, exchange, call, word));
+    fn say(
+        &mut self,
+        softswitch: usize,
+        exchange: usize,
+        call: u64,
+        message: MessageFromExchange,
+        out: &mut Vec<Output>,
+    ) {
+        if self.switches[softswitch] {
+            out.push(Output::FromExchange { softswitch, exchange, call, message });
+        } else if matches!(message, MessageFromExchange::Ended(..)) {
+            self.owed.push((softswitch, exchange, call, message));
         }
     }
 
-    fn way_up(&mut self, switch: usize, exchange: usize, out: &mut Vec<Output>) {
-        let (free, total) = self.groups[&pair(switch, exchange)];
-        self.say(switch, exchange, 0, ExchangeSays::Group(free, total), out);
-        let (now, later) =
-            std::mem::take(&mut self.owed).into_iter().partition(|(s, e, ..)| (*s, *e) == (switch, exchange));
+    fn way_up(&mut self, softswitch: usize, exchange: usize, out: &mut Vec<Output>) {
+        let (free, total) = self.groups[&pair(softswitch, exchange)];
+        self.say(softswitch, exchange, 0, MessageFromExchange::GroupState(free, total), out);
+        let (now, later) = std::mem::take(&mut self.owed)
+            .into_iter()
+            .partition(|(s, e, ..)| (*s, *e) == (softswitch, exchange));
         self.owed = later;
         let now: Vec<_> = now;
-        for (_, _, call, word) in now {
-            self.say(switch, exchange, call, word, out);
+        for (_, _, call, message) in now {
+            self.say(softswitch, exchange, call, message, out);
         }
     }
 
     fn hear_switch(
         &mut self,
-        switch: usize,
+        softswitch: usize,
         exchange: usize,
         call: u64,
-        word: ExchangeHears,
+        message: MessageToExchange,
         out: &mut Vec<Output>,
     ) {
-        match word {
-            ExchangeHears::SetUp => {
-                if let Some(word) = self.set_up(switch, exchange, call, out) {
-                    self.say(switch, exchange, call, word, out);
+        match message {
+            MessageToExchange::SetUp => {
+                if let Some(message) = self.set_up(softswitch, exchange, call, out) {
+                    self.say(softswitch, exchange, call, message, out);
                 }
             }
-            ExchangeHears::Stop => {
-                let Some(leg) = self.drop_leg(call, switch, exchange, out) else { return };
+            MessageToExchange::Release => {
+                let Some(leg) = self.drop_leg(call, softswitch, exchange, out) else { return };
                 if leg.phase != Phase::Queued && self.calls.get(&call).is_some_and(|c| c.dest != exchange) {
-                    out.push(Output::FromCaller { switch: exchange, call, word: SwitchHears::Stop });
+                    out.push(Output::FromCaller {
+                        softswitch: exchange,
+                        call,
+                        message: MessageFromCaller::HangUp,
+                    });
                 }
                 self.forget_if_over(call);
             }
-            ExchangeHears::Test => {
+            MessageToExchange::Probe => {
                 if !self.exchanges[exchange].stalled {
-                    self.say(switch, exchange, call, ExchangeSays::Tested, out);
+                    self.say(softswitch, exchange, call, MessageFromExchange::ProbePassed, out);
                 }
             }
         }
@@ -597,40 +620,40 @@
     /// A set-up has come; `Some` is why it is turned back at once.
     fn set_up(
         &mut self,
-        switch: usize,
+        softswitch: usize,
         exchange: usize,
         call: u64,
         out: &mut Vec<Output>,
-    ) -> Option<ExchangeSays> {
+    ) -> Option<MessageFromExchange> {
         let Some(held) = self.calls.get(&call) else {
             // Its caller may have given up a moment ago; an id that was never there is another matter, but looks the same.
-            return Some(ExchangeSays::Stop(47, "", Duration::ZERO));
+            return Some(MessageFromExchange::Ended(47, "", Duration::ZERO));
         };
-        if held.legs.iter().any(|leg| leg.from == switch) {
+        if held.legs.iter().any(|leg| leg.from == softswitch) {
             self.broken += 1;
-            return Some(ExchangeSays::Stop(47, "", Duration::ZERO));
+            return Some(MessageFromExchange::Ended(47, "", Duration::ZERO));
         }
-        let own_call = held.origin == switch || held.legs.iter().any(|leg| leg.to == switch);
+        let own_call = held.origin == softswitch || held.legs.iter().any(|leg| leg.to == softswitch);
         if !own_call {
             self.broken += 1;
-            return Some(ExchangeSays::Stop(47, "", Duration::ZERO));
+            return Some(MessageFromExchange::Ended(47, "", Duration::ZERO));
         }
-        if !self.exchanges[switch].alive {
-            return Some(ExchangeSays::Stop(102, "", Duration::ZERO));
+        if !self.exchanges[softswitch].alive {
+            return Some(MessageFromExchange::Ended(102, "", Duration::ZERO));
         }
-        if self.groups[&pair(switch, exchange)].0 == 0 {
-            return Some(ExchangeSays::Stop(34, "group_full", Duration::ZERO));
+        if self.groups[&pair(softswitch, exchange)].0 == 0 {
+            return Some(MessageFromExchange::Ended(34, "group_full", Duration::ZERO));
         }
         let wait = self.wait(exchange);
         if wait > FULL {
-            return Some(ExchangeSays::Stop(34, "processor_full", wait));
+            return Some(MessageFromExchange::Ended(34, "processor_full", wait));
         }
-        let leg = Leg { from: switch, to: exchange, phase: Phase::Queued };
+        let leg = Leg { from: softswitch, to: exchange, phase: Phase::Queued };
         if let Some(held) = self.calls.get_mut(&call) {
             held.legs.push(leg);
         }
-        self.take_circuits(switch, exchange, -1, out);
-        self.exchanges[exchange].queue.push_back((call, switch));
+        self.take_circuits(softswitch, exchange, -1, out);
+        self.exchanges[exchange].queue.push_back((call, softswitch));
         self.work_on(exchange);
         None
     }
@@ -638,10 +661,10 @@
     fn take_circuits(&mut self, a: usize, b: usize, more: i64, out: &mut Vec<Output>) {
         let Some((free, total)) = self.groups.get_mut(&pair(a, b)) else { return };
         *free = (i64::from(*free) + more).clamp(0, i64::from(*total)) as u32;
-        let word = ExchangeSays::Group(*free, *total);
-        for (switch, exchange) in [(a, b), (b, a)] {
-            if self.switches[switch] && self.exchanges[exchange].alive {
-                out.push(Output::FromExchange { switch, exchange, call: 0, word });
+        let message = MessageFromExchange::GroupState(*free, *total);
+        for (softswitch, exchange) in [(a, b), (b, a)] {
+            if self.switches[softswitch] && self.exchanges[exchange].alive {
+                out.push(Output::FromExchange { softswitch, exchange, call: 0, message });
             }
         }
     }
@@ -689,17 +712,28 @@
         };
         if dest == exchange {
             leg.phase = Phase::Standing;
-            let hold = -self.rng.random::<f64>().max(1e-12).ln() * class.hold.as_secs_f64();
+            let hold = -self.rng.random::<f64>().max(1e-12).ln() * class.mean_hold.as_secs_f64();
             self.set(self.now + Duration::from_secs_f64(hold), Timer::End(call));
-            self.say(from, exchange, call, ExchangeSays::Answer, out);
+            self.say(from, exchange, call, MessageFromExchange::Answered, out);
         } else if transit || !self.switches[exchange] {
             self.drop_leg(call, from, exchange, out);
-            self.say(from, exchange, call, ExchangeSays::Stop(34, "tandem_refused", Duration::ZERO), out);
+            self.say(
+                from,
+                exchange,
+                call,
+                MessageFromExchange::Ended(34, "tandem_refused", Duration::ZERO),
+                out,
+            );
         } else {
             leg.phase = Phase::Passed;
-            let left = class.limit.mul_f64(TRY);
-            let word = SwitchHears::SetUp { class: class.name, left, dest, transit_from: Some(from) };
-            out.push(Output::FromCaller { switch: exchange, call, word });
+            let left = class.abandon_after.mul_f64(TRY);
+            let message = MessageFromCaller::SetUp {
+                class: class.name,
+                remaining: left,
+                dest,
+                transit_from: Some(from),
+            };
+            out.push(Output::FromCaller { softswitch: exchange, call, message });
         }
     }
 
@@ -710,7 +744,7 @@
         let at = held.legs.iter().find(|leg| leg.to == dest && leg.phase == Phase::Standing).copied();
         if let Some(leg) = at {
             self.drop_leg(call, leg.from, dest, out);
-            self.say(leg.from, dest, call, ExchangeSays::Stop(16, "", Duration::ZERO), out);
+            self.say(leg.from, dest, call, MessageFromExchange::Ended(16, "", Duration::ZERO), out);
             self.forget_if_over(call);
         }
     }
@@ -732,27 +766,27 @@
 
     // ---- incidents ----
 
-    fn begin(&mut self, incident: Incident, out: &mut Vec<Output>) {
+    fn begin(&mut self, incident: ScriptedIncident, out: &mut Vec<Output>) {
         let node = incident.node;
         match incident.kind {
-            Kind::Die => self.die(node, out),
-            Kind::Replace => {
+            ScriptedKind::Die => self.die(node, out),
+            ScriptedKind::Replace => {
                 self.exchanges[node].draining = true;
                 self.list_changes();
             }
-            Kind::Stall => self.exchanges[node].stalled = true,
-            Kind::Slow(factor) => self.exchanges[node].factor = factor,
-            Kind::Lag(extra) => self.lag = self.scenario.lag + extra,
-            Kind::Kill => out.push(Output::Kill(node)),
-            Kind::Clock(..) => {}
+            ScriptedKind::Stall => self.exchanges[node].stalled = true,
+            ScriptedKind::Slow(factor) => self.exchanges[node].factor = factor,
+            ScriptedKind::Lag(extra) => self.lag = self.scenario.list_lag + extra,
+            ScriptedKind::Kill => out.push(Output::KillSoftswitch(node)),
+            ScriptedKind::Clock(..) => {}
         }
     }
 
-    fn over(&mut self, incident: Incident, out: &mut Vec<Output>) {
+    fn over(&mut self, incident: ScriptedIncident, out: &mut Vec<Output>) {
         let node = incident.node;
         match incident.kind {
-            Kind::Die => self.start(node, out),
-            Kind::Replace => {
+            ScriptedKind::Die => self.start(node, out),
+            ScriptedKind::Replace => {
                 self.die(node, out);
                 let held = &mut self.exchanges[node];
                 held.starts += 1;
@@ -760,15 +794,15 @@
                 held.draining = false;
                 self.start(node, out);
             }
-            Kind::Stall => {
+            ScriptedKind::Stall => {
                 self.exchanges[node].stalled = false;
                 self.exchanges[node].busy = false;
                 self.set(self.now, Timer::GoOn(node));
             }
-            Kind::Slow(_) => self.exchanges[node].factor = 1.0,
-            Kind::Lag(_) => self.lag = self.scenario.lag,
-            Kind::Kill => out.push(Output::Start(node)),
-            Kind::Clock(..) => {}
+            ScriptedKind::Slow(_) => self.exchanges[node].factor = 1.0,
+            ScriptedKind::Lag(_) => self.lag = self.scenario.list_lag,
+            ScriptedKind::Kill => out.push(Output::StartSoftswitch(node)),
+            ScriptedKind::Clock(..) => {}
         }
     }
 
@@ -777,7 +811,7 @@
         let held = &mut self.exchanges[node];
         (held.alive, held.busy, held.stalled) = (false, false, false);
         held.queue.clear();
-        out.push(Output::Shut(node));
+        out.push(Output::ExchangeDown(node));
         let mut calls: Vec<u64> = self.calls.keys().copied().collect();
         calls.sort_unstable();
         for call in calls {
@@ -786,7 +820,7 @@
                 self.drop_leg(call, leg.from, leg.to, out);
                 if leg.from == node {
                     // What had come through it is over at the far end.
-                    self.say(node, leg.to, call, ExchangeSays::Stop(41, "", Duration::ZERO), out);
+                    self.say(node, leg.to, call, MessageFromExchange::Ended(41, "", Duration::ZERO), out);
                 }
             }
             self.forget_if_over(call);
@@ -798,39 +832,43 @@
         let held = &mut self.exchanges[node];
         held.alive = true;
         held.born = Some(self.now);
-        out.push(Output::Open(node));
+        out.push(Output::ExchangeUp(node));
         self.list_changes();
     }
 
     fn list_changes(&mut self) {
         let listed = self.exchanges.iter().enumerate().filter(|(_, held)| held.alive);
-        let listed = listed.map(|(exchange, held)| Listed {
+        let listed = listed.map(|(exchange, held)| ListedExchange {
             name: held.name.clone(),
             exchange,
-            born: held.born,
+            started_at: held.born,
             draining: held.draining,
         });
         self.lists.push((self.now, listed.collect()));
     }
 
-    fn lose_switch(&mut self, switch: usize, out: &mut Vec<Output>) {
-        self.switches[switch] = false;
+    fn lose_switch(&mut self, softswitch: usize, out: &mut Vec<Output>) {
+        self.switches[softswitch] = false;
         let mut calls: Vec<u64> = self.calls.keys().copied().collect();
         calls.sort_unstable();
         for call in calls {
             let held = &self.calls[&call];
-            let waits = held.waiting && held.origin == switch;
+            let waits = held.waiting && held.origin == softswitch;
             for leg in held.legs.clone() {
                 // Its connections are closed, and with them the set-ups that were out on them.
-                if leg.from == switch && leg.phase != Phase::Standing {
+                if leg.from == softswitch && leg.phase != Phase::Standing {
                     self.drop_leg(call, leg.from, leg.to, out);
                     if leg.phase == Phase::Passed {
-                        out.push(Output::FromCaller { switch: leg.to, call, word: SwitchHears::Stop });
+                        out.push(Output::FromCaller {
+                            softswitch: leg.to,
+                            call,
+                            message: MessageFromCaller::HangUp,
+                        });
                     }
-                } else if leg.to == switch && leg.phase == Phase::Passed {
+                } else if leg.to == softswitch && leg.phase == Phase::Passed {
                     self.drop_leg(call, leg.from, leg.to, out);
-                    let word = ExchangeSays::Stop(34, "tandem_refused", Duration::ZERO);
-                    self.say(leg.from, switch, call, word, out);
+                    let message = MessageFromExchange::Ended(34, "tandem_refused", Duration::ZERO);
+                    self.say(leg.from, softswitch, call, message, out);
                 }
             }
             if waits {
