--- a/src/decide.rs
+++ b/src/decide.rs
@@ -226,35 +226,6 @@
 }
 
 impl Exchange {
-    /// An exchange of which only the list entry and the group are known.
-    fn new(entry: &ListedExchange, free_circuits: Option<f64>, total_circuits: f64) -> Self {
-        Self {
-            number: entry.number,
-            zone: entry.zone,
-            started_ms: 0.0,
-            not_ready: false,
-            readiness_at: 0.0,
-            carried: 0.0,
-            cranked_back: 0.0,
-            last_message: None,
-            free_circuits,
-            total_circuits,
-            full_at: f64::MIN,
-            delay: 0.0,
-            delay_at: 0.0,
-            delay_unanswered: false,
-            last_sent_at: f64::MIN,
-            min_setup_ms: f64::MAX,
-            open_attempts: BTreeMap::new(),
-            answered_sent_at: f64::MIN,
-            last_answer_at: f64::MIN,
-            trials: 0,
-            usual_rate: 0.0,
-            cold_credit: 0.0,
-            cold_credit_at: 0.0,
-        }
-    }
-
     /// When the oldest open attempt that shows a wait was sent; `now` if there is none. An attempt that was
     /// sent before an answered one shows no wait: a processor works in order, so its answer is lost. When
     /// lost answers counted as a wait, each of them excluded its exchange for seconds.
@@ -262,26 +233,6 @@
         self.open_attempts.values().filter(|at| **at > self.answered_sent_at).fold(now, |a, b| a.min(*b))
     }
 
-    /// Corrects the free circuits after an attempt of a call of this width ended.
-    fn correct_free_circuits(&mut self, outcome: Outcome, reason: Reason, width: f64) {
-        // Nothing was sent, so no circuit is in use, and no report corrects the count, because reports arrive
-        // on the connection that failed. Without this the group would look full after some calls, and its
-        // exchange would lose its usual send rate.
-        if outcome == Outcome::NoConnection
-            && let Some(free) = self.free_circuits.as_mut()
-        {
-            *free += width;
-        }
-        if reason == Reason::NoCircuit {
-            self.free_circuits = Some(self.free_circuits.unwrap_or(0.0).clamp(0.0, width - 1.0));
-        }
-    }
-
-    /// Time that the path itself takes, in ms; 0 while it is not known.
-    fn path_ms(&self) -> f64 {
-        if self.min_setup_ms < f64::MAX { self.min_setup_ms } else { 0.0 }
-    }
-
     /// Time after which a missing answer counts as lost, in ms.
     fn lost_answer_ms(&self) -> f64 {
         (LOST_ANSWER_SETUP_TIMES * self.delay).clamp(LOST_ANSWER_RANGE_MS.0, LOST_ANSWER_RANGE_MS.1)
@@ -395,7 +346,18 @@
             Event::List { kind, entries } => self.apply_list(kind, &entries),
             Event::Call(call) => self.accept_call(call, actions),
             Event::Answered { call, attempt, exchange, elapsed_ms } => {
-                self.establish_call(call, attempt, exchange, elapsed_ms);
+                self.close_attempt(call, exchange, elapsed_ms, true);
+                if let Some(target) = self.exchanges.get_mut(&exchange).filter(|_| elapsed_ms > 0.0) {
+                    target.min_setup_ms = target.min_setup_ms.min(elapsed_ms);
+                }
+                if let Some(state) = self.calls.get_mut(&call).filter(|state| state.attempts == attempt + 1) {
+                    state.phase = Phase::Established;
+                    if let Some(tandem) = self.exchanges.get_mut(&exchange).filter(|e| e.number != state.dest)
+                    {
+                        tandem.carried += 1.0;
+                        self.legs.entry((tandem.number, state.dest)).or_default().has_carried = true;
+                    }
+                }
             }
             Event::AttemptEnded {
                 call,
@@ -527,20 +489,6 @@
         }
     }
 
-    /// Learns from an answer. The call is established unless the answer belongs to an earlier attempt.
-    fn establish_call(&mut self, id: CallId, attempt: u32, at: ExchangeId, elapsed_ms: f64) {
-        self.close_attempt(id, at, elapsed_ms, true);
-        if let Some(exchange) = self.exchanges.get_mut(&at).filter(|_| elapsed_ms > 0.0) {
-            exchange.min_setup_ms = exchange.min_setup_ms.min(elapsed_ms);
-        }
-        let Some(call) = self.calls.get_mut(&id).filter(|call| call.attempts == attempt + 1) else { return };
-        call.phase = Phase::Established;
-        if let Some(tandem) = self.exchanges.get_mut(&at).filter(|e| e.number != call.dest) {
-            tandem.carried += 1.0;
-            self.legs.entry((tandem.number, call.dest)).or_default().has_carried = true;
-        }
-    }
-
     /// Learns from the end of an attempt and decides how its call continues.
     #[allow(clippy::too_many_arguments)]
     fn end_attempt(
@@ -553,68 +501,67 @@
         call_closed: bool,
         actions: &mut Vec<Action>,
     ) {
-        self.close_failed_attempt(id, at, outcome, elapsed_ms);
+        let not_executed = matches!(outcome, Outcome::Congested | Outcome::NoConnection | Outcome::NotSent);
+        let was_open = self.exchanges.get(&at).is_some_and(|e| e.open_attempts.contains_key(&id));
+        // A connection that is refused takes no time, and one that breaks does so at any time: neither shows
+        // the delay of a processor.
+        if was_open && !matches!(outcome, Outcome::NotSent | Outcome::NoConnection | Outcome::Reset) {
+            self.close_attempt(
+                id,
+                at,
+                elapsed_ms,
+                !matches!(outcome, Outcome::TimedOut | Outcome::Cancelled),
+            );
+        } else if let Some(exchange) = self.exchanges.get_mut(&at) {
+            exchange.open_attempts.remove(&id);
+        }
+        let number = self.exchanges.get(&at).map_or(Number::MAX, |e| e.number);
         let Some(call) = self.calls.get_mut(&id) else { return };
         if call_closed {
             return self.drop_call(id);
         }
-        if call.phase != (Phase::Attempting { to: at }) {
+        let Phase::Attempting { to } = call.phase else { return };
+        if to != at {
             return;
         }
         call.phase = Phase::Deciding;
-        call.may_have_run |=
-            !matches!(outcome, Outcome::Congested | Outcome::NoConnection | Outcome::NotSent);
-        // A reset mostly concerns the path to an exchange: one that has died refuses the next attempt, and
-        // any other can be reached as before.
-        if matches!(outcome, Outcome::Reset | Outcome::Cancelled | Outcome::Busy) {
-            call.excluded.remove(&at);
-        }
-        let (dest, width) = (call.dest, call.width);
-        let target_setup_ms = self.settings.classes[call.class].target_setup_ms;
+        call.may_have_run |= !not_executed;
+        let (dest, called_number) = (call.dest, call.called_number);
         if reason == Reason::CrankBack {
-            self.learn_crank_back(at, dest);
-        }
-        if let Some(exchange) = self.exchanges.get_mut(&at) {
-            exchange.correct_free_circuits(outcome, reason, width);
-            if let Reason::ProcessorFull(wait) = reason {
-                exchange.delay = exchange.delay.max(wait).max(FULL_PROCESSOR_DELAY_TARGETS * target_setup_ms);
-                exchange.delay_at = self.now;
+            if let Some(tandem) = self.exchanges.get_mut(&at) {
+                tandem.cranked_back += 1.0;
+            }
+            let leg = self.legs.entry((number, dest)).or_default();
+            leg.full_until = self.now + LEG_FULL_MS;
+            if !leg.has_carried && leg.reported.is_none() {
+                leg.absent_until = self.now + LEG_ABSENT_MS;
             }
         }
-        self.continue_call(id, outcome, reason, actions);
-    }
-
-    /// Removes an attempt that did not establish its call from the open ones, and learns from its duration if
-    /// that shows the delay of a processor.
-    fn close_failed_attempt(&mut self, id: CallId, at: ExchangeId, outcome: Outcome, elapsed_ms: f64) {
-        let was_open = self.exchanges.get(&at).is_some_and(|e| e.open_attempts.contains_key(&id));
-        // A connection that is refused takes no time, and one that breaks does so at any time: neither shows
-        // the delay of a processor.
-        if was_open && !matches!(outcome, Outcome::NotSent | Outcome::NoConnection | Outcome::Reset) {
-            let answered = !matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
-            self.close_attempt(id, at, elapsed_ms, answered);
-        } else if let Some(exchange) = self.exchanges.get_mut(&at) {
-            exchange.open_attempts.remove(&id);
+        // Nothing was sent, so no circuit is in use, and no report corrects the count, because reports arrive
+        // on the connection that failed. Without this the group would look full after some calls, and its
+        // exchange would lose its usual send rate.
+        if outcome == Outcome::NoConnection
+            && let Some(free) = self.exchanges.get_mut(&at).and_then(|e| e.free_circuits.as_mut())
+        {
+            *free += call.width;
         }
-    }
-
-    /// Marks the second leg from this tandem as full, or as absent if nothing shows that it exists.
-    fn learn_crank_back(&mut self, tandem: ExchangeId, dest: Number) {
-        let mut number = Number::MAX;
-        if let Some(tandem) = self.exchanges.get_mut(&tandem) {
-            tandem.cranked_back += 1.0;
-            number = tandem.number;
+        if reason == Reason::NoCircuit
+            && let Some(exchange) = self.exchanges.get_mut(&at)
+        {
+            exchange.free_circuits = Some(exchange.free_circuits.unwrap_or(0.0).clamp(0.0, call.width - 1.0));
         }
-        let leg = self.legs.entry((number, dest)).or_default();
-        leg.full_until = self.now + LEG_FULL_MS;
-        if !leg.has_carried && leg.reported.is_none() {
-            leg.absent_until = self.now + LEG_ABSENT_MS;
+        if let (Reason::ProcessorFull(wait), Some(exchange)) = (reason, self.exchanges.get_mut(&at)) {
+            exchange.delay = exchange
+                .delay
+                .max(wait)
+                .max(FULL_PROCESSOR_DELAY_TARGETS * self.settings.classes[call.class].target_setup_ms);
+            exchange.delay_at = self.now;
+        }
+        // A reset mostly concerns the path to an exchange: one that has died refuses the next attempt, and
+        // any other can be reached as before.
+        if matches!(outcome, Outcome::Reset | Outcome::Cancelled | Outcome::Busy) {
+            call.excluded.remove(&at);
         }
-    }
-
-    /// Decides again on a call whose attempt ended, starts its release pause, or ends it.
-    fn continue_call(&mut self, id: CallId, outcome: Outcome, reason: Reason, actions: &mut Vec<Action>) {
-        let Some(call) = self.calls.get_mut(&id) else { return };
         match outcome {
             Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => {
                 let until = self.now + self.settings.release_pause_ms;
@@ -624,14 +571,14 @@
                     return self.end_call(id, actions);
                 }
                 call.phase = Phase::Releasing { until };
-                let delay_ms = self.settings.release_pause_ms;
-                actions.push(Action::SetTimer { delay_ms, tag: u64::from(id) });
+                actions
+                    .push(Action::SetTimer { delay_ms: self.settings.release_pause_ms, tag: u64::from(id) });
             }
             // A busy number stays busy, but a signalling fault passes: one exchange answered four of five
             // set-ups with such a fault.
             Outcome::Busy if reason == Reason::UserBusy => {
-                if call.called_number != 0 {
-                    self.gapped_until.insert(call.called_number, self.now + CALL_GAP_MS);
+                if called_number != 0 {
+                    self.gapped_until.insert(called_number, self.now + CALL_GAP_MS);
                 }
                 self.end_call(id, actions);
             }
@@ -713,19 +660,6 @@
     /// destination, only those are sampled; else, where peers send no reports, only those with the best
     /// record. For a `first_route`, candidates without room are left out.
     fn choose_tandem(&mut self, call: &Call, first_route: bool) -> Option<ExchangeId> {
-        let (mut candidates, proven) = self.tandem_candidates(call, first_route);
-        if !proven.is_empty() {
-            candidates = proven;
-        } else if !self.settings.may_message_peers {
-            self.keep_best_records(&mut candidates, call.dest);
-        }
-        self.best_of_sample(candidates, |this, picked| this.route_room(picked, call.dest))
-            .map(|(_, picked)| picked)
-    }
-
-    /// All candidates for a tandem, and those of them that have room and have carried a call to the
-    /// destination.
-    fn tandem_candidates(&self, call: &Call, first_route: bool) -> (Vec<ExchangeId>, Vec<ExchangeId>) {
         let mut candidates = Vec::new();
         let mut proven = Vec::new();
         for (number, to) in self.ready_by_number.iter().filter(|(number, _)| **number != call.dest) {
@@ -747,23 +681,24 @@
             }
             candidates.push(*to);
         }
-        (candidates, proven)
-    }
-
-    /// Keeps the candidates with the best record: that have carried many calls and cranked few back, or that
-    /// probably have a group to the destination because they have a large one here and are in its zone.
-    fn keep_best_records(&mut self, candidates: &mut Vec<ExchangeId>, dest: Number) {
-        let zone = self.ready_by_number.get(&dest).map(|id| self.exchanges[id].zone);
-        let record = |to: &ExchangeId| {
-            let e = &self.exchanges[to];
-            let zone_factor = if Some(e.zone) == zone { 1.0 } else { OTHER_ZONE_FACTOR };
-            zone_factor * (e.carried + e.total_circuits / (e.total_circuits + NEUTRAL_GROUP_CIRCUITS))
-                / (e.carried + e.cranked_back + 1.0)
-        };
-        candidates.shuffle(&mut self.rng);
-        candidates.sort_by(|a, b| record(b).total_cmp(&record(a)));
-        let kept = (candidates.len() as f64 * BEST_RECORD_FRACTION).ceil() as usize;
-        candidates.truncate(kept.max(MAX_SAMPLED_TANDEMS));
+        if !proven.is_empty() {
+            candidates = proven;
+        } else if !self.settings.may_message_peers {
+            let zone = self.ready_by_number.get(&call.dest).map(|id| self.exchanges[id].zone);
+            let record = |to: &ExchangeId| {
+                let e = &self.exchanges[to];
+                let zone_factor = if Some(e.zone) == zone { 1.0 } else { OTHER_ZONE_FACTOR };
+                zone_factor * (e.carried + e.total_circuits / (e.total_circuits + NEUTRAL_GROUP_CIRCUITS))
+                    / (e.carried + e.cranked_back + 1.0)
+            };
+            candidates.shuffle(&mut self.rng);
+            candidates.sort_by(|a, b| record(b).total_cmp(&record(a)));
+            candidates.truncate(
+                ((candidates.len() as f64 * BEST_RECORD_FRACTION).ceil() as usize).max(MAX_SAMPLED_TANDEMS),
+            );
+        }
+        self.best_of_sample(candidates, |this, picked| this.route_room(picked, call.dest))
+            .map(|(_, picked)| picked)
     }
 
     /// The best of a few random candidates, by free circuits and then by size, with both values; on ties the
@@ -894,7 +829,10 @@
             .iter()
             .map(|c| MAX_WAIT_FRACTION_TOP_WORTH * c.target_setup_ms)
             .fold(0.0, f64::max);
-        let sheds = |e: &Exchange| self.expected_setup_ms(id) - e.path_ms() >= max_wait;
+        let sheds = |e: &Exchange| {
+            self.expected_setup_ms(id) - if e.min_setup_ms < f64::MAX { e.min_setup_ms } else { 0.0 }
+                >= max_wait
+        };
         self.exchanges.get(&id).is_none_or(|e| e.not_ready || sheds(e))
     }
 
@@ -921,7 +859,10 @@
         // Only the wait beyond the shortest set-up time counts. Otherwise a healthy exchange whose path alone
         // takes a large part of the target set-up time would be shed because of its distance.
         let wait = |to: &ExchangeId| {
-            let path_ms = self.exchanges.get(to).map_or(0.0, Exchange::path_ms);
+            let path_ms = self
+                .exchanges
+                .get(to)
+                .map_or(0.0, |e| if e.min_setup_ms < f64::MAX { e.min_setup_ms } else { 0.0 });
             self.expected_setup_ms(*to) - path_ms
         };
         self.backlog_ms() < max_wait && route.iter().all(|to| wait(to) < max_wait)
@@ -984,7 +925,48 @@
             }
         }
         for entry in entries {
-            self.apply_list_entry(entry);
+            // A new processor takes over the group of the one that it replaces.
+            let former = self.ready_by_number.get(&entry.number).and_then(|id| self.exchanges.get(id));
+            let (free_circuits, total_circuits) =
+                former.map_or((None, 0.0), |e| (e.free_circuits, e.total_circuits));
+            let exchange = self.exchanges.entry(entry.id).or_insert_with(|| Exchange {
+                number: entry.number,
+                zone: entry.zone,
+                started_ms: 0.0,
+                not_ready: false,
+                readiness_at: 0.0,
+                carried: 0.0,
+                cranked_back: 0.0,
+                last_message: None,
+                free_circuits,
+                total_circuits,
+                full_at: f64::MIN,
+                delay: 0.0,
+                delay_at: 0.0,
+                delay_unanswered: false,
+                last_sent_at: f64::MIN,
+                min_setup_ms: f64::MAX,
+                open_attempts: BTreeMap::new(),
+                answered_sent_at: f64::MIN,
+                last_answer_at: f64::MIN,
+                trials: 0,
+                usual_rate: 0.0,
+                cold_credit: 0.0,
+                cold_credit_at: 0.0,
+            });
+            exchange.number = entry.number;
+            exchange.zone = entry.zone;
+            exchange.not_ready = entry.readiness != Readiness::Ready;
+            exchange.readiness_at = self.now;
+            let started_ms = if entry.started_ms.is_finite() { entry.started_ms } else { self.now };
+            if exchange.started_ms != started_ms {
+                exchange.started_ms = started_ms;
+                // The rate was computed at the last send and is too high by that send itself.
+                let rate = self.send_rates.get(&entry.number).map_or(0.0, |rate| rate.0);
+                exchange.usual_rate = (rate - 1_000.0 / RATE_TIME_CONSTANT_MS).max(0.0);
+                exchange.cold_credit = self.rng.random();
+                exchange.cold_credit_at = self.now;
+            }
         }
         self.ready_by_number.clear();
         for (id, exchange) in self.exchanges.iter().filter(|(_, e)| !e.not_ready) {
@@ -995,30 +977,6 @@
         }
     }
 
-    fn apply_list_entry(&mut self, entry: &ListedExchange) {
-        // A new processor takes over the group of the one that it replaces.
-        let former = self.ready_by_number.get(&entry.number).and_then(|id| self.exchanges.get(id));
-        let (free_circuits, total_circuits) =
-            former.map_or((None, 0.0), |e| (e.free_circuits, e.total_circuits));
-        let exchange = self
-            .exchanges
-            .entry(entry.id)
-            .or_insert_with(|| Exchange::new(entry, free_circuits, total_circuits));
-        exchange.number = entry.number;
-        exchange.zone = entry.zone;
-        exchange.not_ready = entry.readiness != Readiness::Ready;
-        exchange.readiness_at = self.now;
-        let started_ms = if entry.started_ms.is_finite() { entry.started_ms } else { self.now };
-        if exchange.started_ms != started_ms {
-            exchange.started_ms = started_ms;
-            // The rate was computed at the last send and is too high by that send itself.
-            let rate = self.send_rates.get(&entry.number).map_or(0.0, |rate| rate.0);
-            exchange.usual_rate = (rate - 1_000.0 / RATE_TIME_CONSTANT_MS).max(0.0);
-            exchange.cold_credit = self.rng.random();
-            exchange.cold_credit_at = self.now;
-        }
-    }
-
     fn apply_load_report(&mut self, from: ExchangeId, report: Option<&LoadReport>) {
         let (Some(report), Some(exchange)) = (report, self.exchanges.get_mut(&from)) else { return };
         for (value, field) in report.iter().zip(&self.settings.report_fields) {
@@ -1055,6 +1013,18 @@
         }
         let numbers: Vec<u16> = self.ready_by_number.keys().filter_map(|n| u16::try_from(*n).ok()).collect();
         let (Ok(home), Some(last)) = (u16::try_from(home), numbers.last()) else { return };
+        let group_state = |number: &u16| match self
+            .ready_by_number
+            .get(&Number::from(*number))
+            .map(|id| &self.exchanges[id])
+        {
+            _ if *number == home => NO_GROUP,
+            Some(Exchange { free_circuits: None, .. }) => UNKNOWN_GROUP,
+            Some(Exchange { free_circuits: Some(free), total_circuits, .. }) if *total_circuits > 0.0 => {
+                free.clamp(0.0, f64::from(UNKNOWN_GROUP - 1)) as u8
+            }
+            _ => NO_GROUP,
+        };
         for first in (0..=*last).step_by(MAX_NUMBERS_PER_PEER_MESSAGE) {
             let block = first..=first.saturating_add(MAX_NUMBERS_PER_PEER_MESSAGE as u16 - 1).min(*last);
             if numbers.iter().any(|number| block.contains(number)) {
@@ -1062,24 +1032,12 @@
                 for field in [home, message_stamp(self.now), first] {
                     bytes.extend(field.to_le_bytes());
                 }
-                bytes.extend(block.map(|number| self.group_state(number, home)));
+                bytes.extend(block.map(|number| group_state(&number)));
                 actions.push(Action::SendPeerMessage { to: None, bytes });
             }
         }
     }
 
-    /// The byte that a report has for the group to the exchange with this number.
-    fn group_state(&self, number: u16, home: u16) -> u8 {
-        match self.ready_by_number.get(&Number::from(number)).map(|id| &self.exchanges[id]) {
-            _ if number == home => NO_GROUP,
-            Some(Exchange { free_circuits: None, .. }) => UNKNOWN_GROUP,
-            Some(Exchange { free_circuits: Some(free), total_circuits, .. }) if *total_circuits > 0.0 => {
-                free.clamp(0.0, f64::from(UNKNOWN_GROUP - 1)) as u8
-            }
-            _ => NO_GROUP,
-        }
-    }
-
     /// Applies a peer's report. It is ignored if it is of another version, older than the last one, or not
     /// from a ready exchange other than the own one.
     fn apply_peer_message(&mut self, bytes: &[u8]) {
