--- a/crates/report/src/incident/affected_calls.rs
+++ b/crates/report/src/incident/affected_calls.rs
@@ -1,162 +1,166 @@
-//! What incidents cost: a ledger of open calls, and of those that were lost, each charged to one incident.
+//! Tracks open calls and attributes each call that was cut, lost, abandoned or delayed to at most one incident.
 
 use std::collections::{HashMap, VecDeque};
 
 use swiftlb_record::{CallUid, Event};
 
-use super::node::Key;
+use super::node::CallKey;
 use super::{AffectedCalls, Incident, IncidentKind};
 
-/// Losses are charged once they are so old: the beginning of an incident is told some seconds after it.
-pub(super) const SETTLED_US: u64 = 30_000_000;
-/// A call is charged to an incident that was over for no longer than this.
-const AFTER_US: u64 = 3_000_000;
+/// Age at which affected calls are attributed: the beginning of an incident is detected only some seconds later.
+pub(super) const ATTRIBUTION_DELAY_US: u64 = 30_000_000;
+/// Longest time since the end of an incident for a call to be attributed to it.
+const MAX_TIME_AFTER_END_US: u64 = 3_000_000;
 
+/// How a call was affected, as in [`AffectedCalls`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Loss {
+enum Impact {
     Cut,
     Lost,
-    GivenUp,
+    Abandoned,
     Delayed,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Open {
+struct OpenCall {
     dest: u32,
-    /// Where its attempt is out.
-    out_at: Option<u32>,
-    /// Where earlier ones came to nothing.
-    vain: Vec<u32>,
+    /// Exchange with an open attempt of the call.
+    attempt_at: Option<u32>,
+    /// Exchanges where earlier attempts failed.
+    failed_at: Vec<u32>,
 }
 
-/// What an event meant for its call.
+/// What an event means for the call that it concerns.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Spent {
-    /// The call at this softswitch.
-    pub(super) key: Key,
-    /// The attempt goes straight to the call's own exchange.
+pub(super) struct CallUpdate {
+    /// The call.
+    pub(super) call_key: CallKey,
+    /// Whether the destination itself answered the call, not a tandem.
     pub(super) direct: bool,
-    /// The call's own exchange, where it has had its outcome.
+    /// Destination of the call, if the event ends its set-up.
     pub(super) dest: Option<u32>,
-    /// Where an attempt was out.
-    pub(super) out_at: Option<u32>,
+    /// Exchange where an attempt was open when the call was refused, failed or was abandoned.
+    pub(super) attempt_at: Option<u32>,
 }
 
-/// Calls that are open, and those that were lost.
+/// Open calls, and affected calls with the exchanges concerned.
 #[derive(Debug, Default)]
-pub(super) struct Ledger {
-    open: HashMap<Key, Open>,
-    /// The exchange of each softswitch: what is lost there may be lost because of its own node.
-    homes: Vec<Option<u32>>,
-    /// When, how, and the exchanges that it may have been because of, the last first.
-    losses: VecDeque<(u64, Loss, Vec<u32>)>,
-    /// What incidents have cost so far, by kind, exchange and beginning.
-    charged: HashMap<(IncidentKind, Option<u32>, u64), AffectedCalls>,
+pub(super) struct CallTracker {
+    open: HashMap<CallKey, OpenCall>,
+    /// Home exchange of each softswitch: an incident of its own node may affect the calls that it handles.
+    home_exchanges: Vec<Option<u32>>,
+    /// Affected calls that are not attributed yet: when, how, and the exchanges whose incidents may be the reason, the
+    /// most recently tried one first.
+    unattributed: VecDeque<(u64, Impact, Vec<u32>)>,
+    /// Calls attributed so far, by kind, exchange and beginning of the incident.
+    attributed: HashMap<(IncidentKind, Option<u32>, u64), AffectedCalls>,
 }
 
-impl Ledger {
-    pub(super) fn new(homes: &[Option<u32>]) -> Self {
-        Self { homes: homes.to_vec(), ..Self::default() }
+impl CallTracker {
+    pub(super) fn new(home_exchanges: &[Option<u32>]) -> Self {
+        Self { home_exchanges: home_exchanges.to_vec(), ..Self::default() }
     }
 
-    /// The own node of a softswitch, as the last place that a loss may be because of.
-    fn home(&self, who: usize) -> Option<u32> {
-        self.homes.get(who).copied().flatten()
+    /// Home exchange of a softswitch, which is the last one considered for an affected call.
+    fn home_exchange(&self, softswitch: usize) -> Option<u32> {
+        self.home_exchanges.get(softswitch).copied().flatten()
     }
 
-    pub(super) fn see(&mut self, at: u64, who: usize, event: &Event) -> Spent {
-        let Some(CallUid(call)) = event.call() else { return Spent::default() };
-        let key = (who, call);
-        let mut spent = Spent { key, ..Spent::default() };
+    pub(super) fn observe(&mut self, at_us: u64, softswitch: usize, event: &Event) -> CallUpdate {
+        let Some(CallUid(call)) = event.call() else { return CallUpdate::default() };
+        let call_key = (softswitch, call);
+        let mut update = CallUpdate { call_key, ..CallUpdate::default() };
         match event {
             Event::SetUp { dest, .. } => {
-                self.open.insert(key, Open { dest: *dest, ..Open::default() });
+                self.open.insert(call_key, OpenCall { dest: *dest, ..OpenCall::default() });
             }
             Event::Attempt { exchange, .. } => {
-                if let Some(open) = self.open.get_mut(&key) {
-                    open.out_at = Some(*exchange);
+                if let Some(open) = self.open.get_mut(&call_key) {
+                    open.attempt_at = Some(*exchange);
                 }
             }
             Event::AttemptEnded { exchange, .. } => {
-                if let Some(open) = self.open.get_mut(&key) {
-                    open.out_at = None;
-                    open.vain.push(*exchange);
+                if let Some(open) = self.open.get_mut(&call_key) {
+                    open.attempt_at = None;
+                    open.failed_at.push(*exchange);
                 }
             }
             Event::Answered { exchange, .. } => {
-                if let Some(open) = self.open.remove(&key) {
-                    spent.direct = open.dest == *exchange;
-                    spent.dest = Some(open.dest);
-                    self.lose(at, who, Loss::Delayed, &open);
+                if let Some(open) = self.open.remove(&call_key) {
+                    update.direct = open.dest == *exchange;
+                    update.dest = Some(open.dest);
+                    self.record(at_us, softswitch, Impact::Delayed, &open);
                 }
             }
             Event::Refused { .. } | Event::Failed { .. } => {
-                if let Some(open) = self.open.remove(&key) {
-                    (spent.out_at, spent.dest) = (open.out_at, Some(open.dest));
-                    self.lose(at, who, Loss::Lost, &open);
+                if let Some(open) = self.open.remove(&call_key) {
+                    (update.attempt_at, update.dest) = (open.attempt_at, Some(open.dest));
+                    self.record(at_us, softswitch, Impact::Lost, &open);
                 }
             }
             Event::Abandoned { .. } => {
-                if let Some(open) = self.open.remove(&key) {
-                    (spent.out_at, spent.dest) = (open.out_at, Some(open.dest));
-                    self.lose(at, who, Loss::GivenUp, &open);
+                if let Some(open) = self.open.remove(&call_key) {
+                    (update.attempt_at, update.dest) = (open.attempt_at, Some(open.dest));
+                    self.record(at_us, softswitch, Impact::Abandoned, &open);
                 }
             }
             Event::Released { exchange: Some(exchange), cut: true, .. } => {
-                let places = [Some(*exchange), self.home(who)];
-                self.losses.push_back((at, Loss::Cut, places.into_iter().flatten().collect()));
+                let exchanges = [Some(*exchange), self.home_exchange(softswitch)];
+                self.unattributed.push_back((at_us, Impact::Cut, exchanges.into_iter().flatten().collect()));
             }
             _ => {}
         }
-        spent
+        update
     }
 
-    fn lose(&mut self, at: u64, who: usize, loss: Loss, open: &Open) {
-        let out_at = open.out_at.filter(|_| loss != Loss::Delayed);
-        let mut places: Vec<u32> = out_at.into_iter().chain(open.vain.iter().rev().copied()).collect();
-        // One that was never sent was kept from its own exchange.
-        if loss == Loss::Lost {
-            places.push(open.dest);
+    fn record(&mut self, at_us: u64, softswitch: usize, impact: Impact, open: &OpenCall) {
+        let attempt_at = open.attempt_at.filter(|_| impact != Impact::Delayed);
+        let mut exchanges: Vec<u32> =
+            attempt_at.into_iter().chain(open.failed_at.iter().rev().copied()).collect();
+        // A call that was never sent was kept from its destination.
+        if impact == Impact::Lost {
+            exchanges.push(open.dest);
         }
-        places.extend(self.home(who).filter(|_| loss != Loss::Delayed));
-        places.dedup();
-        if !places.is_empty() {
-            self.losses.push_back((at, loss, places));
+        exchanges.extend(self.home_exchange(softswitch).filter(|_| impact != Impact::Delayed));
+        exchanges.dedup();
+        if !exchanges.is_empty() {
+            self.unattributed.push_back((at_us, impact, exchanges));
         }
     }
 
-    /// Charges each loss up to a time to the incident that it was because of: one at the exchange where it was lost,
-    /// that had begun and was not long over; of several the one that began last. What is because of none is forgotten:
-    /// by then every incident that it could be because of is known.
-    pub(super) fn settle(&mut self, until: u64, incidents: &[&Incident]) {
-        while self.losses.front().is_some_and(|(at, ..)| *at <= until) {
-            let Some((at, loss, places)) = self.losses.pop_front() else { return };
-            let of = |incident: &&&Incident, place: u32| {
-                incident.exchange == Some(place)
-                    && incident.begin_us <= at
-                    && incident.end_us.is_none_or(|end| at <= end + AFTER_US)
+    /// Attributes the calls that were affected up to this time. The exchanges of a call are searched in order for an
+    /// incident that had begun by then and had not ended long before; of several at one exchange, the one that began last
+    /// is taken. A call without such an incident is dropped: at that age all incidents that could apply are known.
+    pub(super) fn attribute_until(&mut self, until_us: u64, incidents: &[&Incident]) {
+        while self.unattributed.front().is_some_and(|(at_us, ..)| *at_us <= until_us) {
+            let Some((at_us, impact, exchanges)) = self.unattributed.pop_front() else { return };
+            let applies = |incident: &&&Incident, exchange: u32| {
+                incident.exchange == Some(exchange)
+                    && incident.begin_us <= at_us
+                    && incident.end_us.is_none_or(|end| at_us <= end + MAX_TIME_AFTER_END_US)
             };
-            let found = places.iter().find_map(|place| {
-                let at_place = incidents.iter().filter(|incident| of(incident, *place));
-                at_place.max_by_key(|incident| incident.begin_us)
+            let found = exchanges.iter().find_map(|exchange| {
+                let candidates = incidents.iter().filter(|incident| applies(incident, *exchange));
+                candidates.max_by_key(|incident| incident.begin_us)
             });
             let Some(incident) = found else { continue };
-            let cost = self.charged.entry((incident.kind, incident.exchange, incident.begin_us)).or_default();
-            match loss {
-                Loss::Cut => cost.cut += 1,
-                Loss::Lost => cost.lost += 1,
-                Loss::GivenUp => cost.abandoned += 1,
-                Loss::Delayed => cost.delayed += 1,
+            let counts =
+                self.attributed.entry((incident.kind, incident.exchange, incident.begin_us)).or_default();
+            match impact {
+                Impact::Cut => counts.cut += 1,
+                Impact::Lost => counts.lost += 1,
+                Impact::Abandoned => counts.abandoned += 1,
+                Impact::Delayed => counts.delayed += 1,
             }
         }
     }
 
-    /// Writes what each incident cost beside it.
-    pub(super) fn charge(mut self, incidents: &mut [Incident]) {
-        self.settle(u64::MAX, &incidents.iter().collect::<Vec<_>>());
+    /// Attributes the remaining calls and writes the counts into the incidents.
+    pub(super) fn write_affected_calls(mut self, incidents: &mut [Incident]) {
+        self.attribute_until(u64::MAX, &incidents.iter().collect::<Vec<_>>());
         for incident in incidents {
-            let cost = self.charged.get(&(incident.kind, incident.exchange, incident.begin_us));
-            incident.affected_calls = cost.copied().unwrap_or_default();
+            let counts = self.attributed.get(&(incident.kind, incident.exchange, incident.begin_us));
+            incident.affected_calls = counts.copied().unwrap_or_default();
         }
     }
 }
--- a/crates/report/src/incident/episode.rs
+++ b/crates/report/src/incident/episode.rs
@@ -1,30 +1,30 @@
-//! Which incidents belong together, and which of them came of which.
+//! Groups incidents that belong together and finds which of them triggered which.
 //!
-//! A node that dies takes its calls to others: their groups run out, their processors slow down, and softswitches shed.
-//! Told one by one these look like many troubles; told together they are one with its consequences.
+//! When a node dies, its calls go to other nodes: circuit groups run out, processors slow down, and softswitches shed
+//! calls. An episode shows these incidents as one failure and its consequences.
 
 use super::{Incident, IncidentKind};
 
-/// Incidents that overlap, or lie no further apart, are of one episode.
-const APART_US: u64 = 10_000_000;
-/// A consequence begins while its cause lasts, or so long after its end at the latest: what was cut comes again.
-const AFTER_US: u64 = 12_000_000;
-/// Times that are told from evidence are this sure, at best.
-const UNSURE_US: u64 = 1_500_000;
+/// Longest time between the end of an episode and the beginning of a further incident that still belongs to it.
+const MAX_EPISODE_GAP_US: u64 = 10_000_000;
+/// Longest time between the end of an incident and the beginning of one that it triggered: cut calls are set up again.
+const MAX_TRIGGER_DELAY_US: u64 = 12_000_000;
+/// Uncertainty of a beginning that is derived from evidence: a trigger may seem to begin this much after its consequence.
+const BEGIN_UNCERTAINTY_US: u64 = 1_500_000;
 
-/// Several incidents that belong together.
+/// Incidents that belong together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Episode {
-    /// When the first began.
+    /// When the first incident began, in corrected Unix microseconds.
     pub begin_us: u64,
-    /// When the last was over; `None` if one was not.
+    /// When the last incident ended; `None` if one did not end.
     pub end_us: Option<u64>,
-    /// Their places among the incidents, by beginning.
+    /// Indices of the incidents, in the order of their beginnings.
     pub incidents: Vec<usize>,
 }
 
-/// How far up a chain of causes a kind stands: 0 comes of nothing else.
-fn depth(kind: IncidentKind) -> u8 {
+/// Depth of a kind in a chain of triggers: an incident is only triggered by one of less depth. Depth 0 has no trigger.
+fn trigger_depth(kind: IncidentKind) -> u8 {
     match kind {
         IncidentKind::NodeDied
         | IncidentKind::NodeReplaced
@@ -37,52 +37,55 @@
     }
 }
 
-/// Whether one kind can come of another at all.
-fn can_follow(what: &Incident, of: &Incident) -> bool {
-    if of.kind == IncidentKind::ListLag || depth(what.kind) <= depth(of.kind) {
+/// Whether one incident can have triggered another, judged by their kinds and exchanges.
+fn can_be_triggered_by(incident: &Incident, trigger: &Incident) -> bool {
+    if trigger.kind == IncidentKind::ListLag || trigger_depth(incident.kind) <= trigger_depth(trigger.kind) {
         return false;
     }
-    // A stall or a slow processor elsewhere needs the calls of a node that is gone.
-    match what.kind {
-        IncidentKind::NodeStalled | IncidentKind::NodeSlow => what.exchange != of.exchange,
+    // A stall or slowness is a consequence only at another node, which receives the calls of the failed one.
+    match incident.kind {
+        IncidentKind::NodeStalled | IncidentKind::NodeSlow => incident.exchange != trigger.exchange,
         _ => true,
     }
 }
 
-/// Finds for each incident the one that it came of, if any: the latest that had begun before it and was not long over.
-/// The incidents are in the order of their beginnings.
-pub fn link(incidents: &mut [Incident]) {
+/// Sets the trigger of each incident, if there is one: an incident that had begun by then and had not ended long before,
+/// preferably of the same exchange, and of several the one that began last. Expects the incidents in the order of their
+/// beginnings.
+pub fn find_triggers(incidents: &mut [Incident]) {
     for i in 0..incidents.len() {
-        let what = &incidents[i];
-        let came_of = |of: &Incident| {
-            let begun = of.begin_us <= what.begin_us + UNSURE_US;
-            let lasted = of.end_us.is_none_or(|end| what.begin_us <= end + AFTER_US);
-            begun && lasted && can_follow(what, of)
+        let incident = &incidents[i];
+        let may_be_triggered_by = |trigger: &Incident| {
+            let begun = trigger.begin_us <= incident.begin_us + BEGIN_UNCERTAINTY_US;
+            let lasted = trigger.end_us.is_none_or(|end| incident.begin_us <= end + MAX_TRIGGER_DELAY_US);
+            begun && lasted && can_be_triggered_by(incident, trigger)
         };
-        let causes = incidents.iter().enumerate().filter(|(j, of)| *j != i && came_of(of));
-        // The same node's own trouble explains more than another's.
-        let best = causes.max_by_key(|(j, of)| (of.exchange == what.exchange, of.begin_us, *j));
+        let triggers =
+            incidents.iter().enumerate().filter(|(j, trigger)| *j != i && may_be_triggered_by(trigger));
+        // An incident of the same node is a likelier trigger than one of another node.
+        let best =
+            triggers.max_by_key(|(j, trigger)| (trigger.exchange == incident.exchange, trigger.begin_us, *j));
         incidents[i].triggered_by = best.map(|(j, _)| j);
     }
 }
 
-/// Groups incidents into episodes. The incidents are in the order of their beginnings.
-pub fn group(incidents: &[Incident]) -> Vec<Episode> {
+/// Groups incidents into episodes. Expects them in the order of their beginnings.
+pub fn group_into_episodes(incidents: &[Incident]) -> Vec<Episode> {
     let mut episodes: Vec<Episode> = Vec::new();
-    for (place, incident) in incidents.iter().enumerate() {
-        let joins = |episode: &&mut Episode| {
-            let near = episode.end_us.is_none_or(|end| incident.begin_us <= end + APART_US);
-            near || incident.triggered_by.is_some_and(|cause| episode.incidents.contains(&cause))
+    for (index, incident) in incidents.iter().enumerate() {
+        let belongs = |episode: &&mut Episode| {
+            let is_near = episode.end_us.is_none_or(|end| incident.begin_us <= end + MAX_EPISODE_GAP_US);
+            is_near || incident.triggered_by.is_some_and(|trigger| episode.incidents.contains(&trigger))
         };
-        match episodes.last_mut().filter(joins) {
+        match episodes.last_mut().filter(belongs) {
             Some(episode) => {
-                episode.incidents.push(place);
+                episode.incidents.push(index);
                 episode.end_us = episode.end_us.zip(incident.end_us).map(|(a, b)| a.max(b));
             }
             None => episodes.push(Episode {
                 begin_us: incident.begin_us,
                 end_us: incident.end_us,
-                incidents: vec![place],
+                incidents: vec![index],
             }),
         }
     }
--- a/crates/report/src/incident/list.rs
+++ b/crates/report/src/incident/list.rs
@@ -1,4 +1,4 @@
-//! The list against the evidence: how long after a change it was told.
+//! Detects when the list of exchanges lags: when it shows a change long after it happened, or never.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,101 +6,109 @@
 
 use super::{AffectedCalls, Incident, IncidentKind};
 
-/// The list lags once it tells of something so long after it happened: the platform's own delay is a part of that.
-const LATE_US: u64 = 4_000_000;
-/// Words of a lag that come this soon after one another are of the same.
-const SAME_US: u64 = 15_000_000;
+/// Longest delay of a change that is not a lag. The platform's own delay is a part of it.
+const MAX_LIST_DELAY_US: u64 = 4_000_000;
+/// Evidence of a lag that begins this soon after the end of the last one belongs to that.
+const MAX_LAG_GAP_US: u64 = 15_000_000;
 
-/// What the list has told.
+/// Compares the list of exchanges with what is known from connections.
 #[derive(Debug, Default)]
-pub(super) struct ListWatch {
-    /// The last word on each name; only the first softswitch to hear it counts.
-    known: HashMap<(u32, String), (ListedReadiness, u64)>,
-    /// Exchanges that are gone for all to see while the list still has them, and since when.
-    contradicted: BTreeMap<u32, u64>,
+pub(super) struct ListLagDetector {
+    /// Last readiness and start time of each exchange, by number and name. All softswitches receive a change; the first to
+    /// record it counts.
+    entries: HashMap<(u32, String), (ListedReadiness, u64)>,
+    /// Dead exchanges that the list still shows as ready, and since when they are dead.
+    wrongly_listed: BTreeMap<u32, u64>,
     incidents: Vec<Incident>,
 }
 
-impl ListWatch {
-    /// The list tells this of an exchange. `down_us` is since when it is known to be gone. Returns a line if it is news.
-    pub(super) fn told(
+impl ListLagDetector {
+    /// Processes an entry of the list. `died_us` is when the exchange last died, as far as known. Returns the label and
+    /// the detail of an event for the report if the entry is new.
+    pub(super) fn entry_listed(
         &mut self,
-        at: u64,
+        at_us: u64,
         (exchange, name): (u32, &str),
-        listing: ListedReadiness,
+        readiness: ListedReadiness,
         started_us: u64,
-        down_us: Option<u64>,
+        died_us: Option<u64>,
     ) -> Option<(&'static str, String)> {
-        if listing != ListedReadiness::Ready
-            && self.contradicted.remove(&exchange).is_some()
-            && self.contradicted.is_empty()
+        if readiness != ListedReadiness::Ready
+            && self.wrongly_listed.remove(&exchange).is_some()
+            && self.wrongly_listed.is_empty()
         {
-            self.end(at);
+            self.end_lag(at_us);
         }
         let key = (exchange, name.to_owned());
-        let before = self.known.insert(key, (listing, started_us));
-        if before == Some((listing, started_us)) {
+        let previous = self.entries.insert(key, (readiness, started_us));
+        if previous == Some((readiness, started_us)) {
             return None;
         }
-        // The first list that is told at all is no news.
-        let first = before.is_none() && started_us == 0;
-        let happened = match listing {
-            ListedReadiness::Removed => down_us,
+        // The entries of the first list are no changes.
+        let is_initial = previous.is_none() && started_us == 0;
+        let happened_us = match readiness {
+            ListedReadiness::Removed => died_us,
             ListedReadiness::Ready if started_us > 0 => Some(started_us),
             _ => None,
         };
-        let late = happened.map(|happened| at.saturating_sub(happened)).filter(|late| *late > 0);
-        // A start that lies before the records is no news either.
-        let late = late.filter(|late| *late < 120_000_000);
-        if let Some((late, happened)) = late.zip(happened).filter(|(late, _)| *late > LATE_US) {
-            self.lags(happened, at, late, name, listing);
+        let delay_us =
+            happened_us.map(|happened_us| at_us.saturating_sub(happened_us)).filter(|delay_us| *delay_us > 0);
+        // A start this long ago lies before the records, so the entry says nothing about a delay.
+        let delay_us = delay_us.filter(|delay_us| *delay_us < 120_000_000);
+        if let Some((delay_us, happened_us)) =
+            delay_us.zip(happened_us).filter(|(delay_us, _)| *delay_us > MAX_LIST_DELAY_US)
+        {
+            self.add_late_change(happened_us, at_us, delay_us, name, readiness);
         }
-        let how =
-            late.map_or(String::new(), |late| format!(", {:.1} s after it happened", late as f64 / 1e6));
-        match listing {
-            _ if first => None,
+        let how = delay_us
+            .map_or(String::new(), |delay_us| format!(", {:.1} s after it happened", delay_us as f64 / 1e6));
+        match readiness {
+            _ if is_initial => None,
             ListedReadiness::Ready => Some(("list-has", format!("{name} takes work{how}"))),
             ListedReadiness::Draining => Some(("list-drains", format!("{name} finishes what it has"))),
             ListedReadiness::Removed => Some(("list-lost", format!("{name} is in the list no more{how}"))),
         }
     }
 
-    /// Compares the list with what is seen now: `dead` are the exchanges that are gone, and since when. A lag shows here
-    /// before the list tells anything, and also where it never does.
-    pub(super) fn compare(&mut self, now: u64, dead: &[(u32, u64)]) {
-        for (exchange, since) in dead {
-            let takes_work = |((of, _), (listing, _)): (&(u32, String), &(ListedReadiness, u64))| {
-                of == exchange && *listing == ListedReadiness::Ready
-            };
-            let listed = self.known.iter().any(takes_work);
-            if listed && now >= since + LATE_US && !self.contradicted.contains_key(exchange) {
-                self.contradicted.insert(*exchange, *since);
-                self.begin(*exchange, *since);
+    /// Compares the list with the exchanges that are `dead` now, given with the time since when. This finds a lag before
+    /// the list changes, and also when it never does.
+    pub(super) fn compare(&mut self, now_us: u64, dead: &[(u32, u64)]) {
+        for (exchange, since_us) in dead {
+            let is_listed_ready =
+                |((listed_exchange, _), (readiness, _)): (&(u32, String), &(ListedReadiness, u64))| {
+                    listed_exchange == exchange && *readiness == ListedReadiness::Ready
+                };
+            let listed = self.entries.iter().any(is_listed_ready);
+            if listed && now_us >= since_us + MAX_LIST_DELAY_US && !self.wrongly_listed.contains_key(exchange)
+            {
+                self.wrongly_listed.insert(*exchange, *since_us);
+                self.begin_lag(*exchange, *since_us);
             }
         }
-        // One that is back, or no longer listed, contradicts nothing any more.
-        let still = |exchange: &u32| dead.iter().any(|(gone, _)| gone == exchange);
-        let over: Vec<u32> = self.contradicted.keys().filter(|exchange| !still(exchange)).copied().collect();
-        for exchange in over {
-            self.contradicted.remove(&exchange);
-            if self.contradicted.is_empty() {
-                self.end(now);
+        // An exchange that is no longer dead is not listed wrongly any more.
+        let is_dead = |exchange: &u32| dead.iter().any(|(dead_exchange, _)| dead_exchange == exchange);
+        let resolved: Vec<u32> =
+            self.wrongly_listed.keys().filter(|exchange| !is_dead(exchange)).copied().collect();
+        for exchange in resolved {
+            self.wrongly_listed.remove(&exchange);
+            if self.wrongly_listed.is_empty() {
+                self.end_lag(now_us);
             }
         }
     }
 
-    fn begin(&mut self, exchange: u32, since: u64) {
+    fn begin_lag(&mut self, exchange: u32, since_us: u64) {
         if let Some(last) = self.incidents.last_mut()
-            && last.end_us.is_none_or(|end| since < end + SAME_US)
+            && last.end_us.is_none_or(|end| since_us < end + MAX_LAG_GAP_US)
         {
-            (last.begin_us, last.end_us) = (last.begin_us.min(since), None);
+            (last.begin_us, last.end_us) = (last.begin_us.min(since_us), None);
             return;
         }
         self.incidents.push(Incident {
             kind: IncidentKind::ListLag,
             exchange: None,
             softswitch: None,
-            begin_us: since,
+            begin_us: since_us,
             end_us: None,
             evidence: format!("node {exchange} was gone for all to see and still listed"),
             flaps: 0,
@@ -109,31 +117,38 @@
         });
     }
 
-    fn end(&mut self, at: u64) {
+    fn end_lag(&mut self, at_us: u64) {
         if let Some(last) = self.incidents.last_mut() {
-            last.end_us.get_or_insert(at);
+            last.end_us.get_or_insert(at_us);
         }
     }
 
-    fn lags(&mut self, from: u64, to: u64, late: u64, name: &str, listing: ListedReadiness) {
+    fn add_late_change(
+        &mut self,
+        happened_us: u64,
+        listed_us: u64,
+        delay_us: u64,
+        name: &str,
+        readiness: ListedReadiness,
+    ) {
         if let Some(last) = self.incidents.last_mut()
-            && last.end_us.is_none_or(|end| from < end + SAME_US)
+            && last.end_us.is_none_or(|end| happened_us < end + MAX_LAG_GAP_US)
         {
-            last.begin_us = last.begin_us.min(from);
-            // Where it is still contradicted, another word is to come.
-            if self.contradicted.is_empty() || last.end_us.is_some() {
-                last.end_us = last.end_us.max(Some(to));
+            last.begin_us = last.begin_us.min(happened_us);
+            // While an exchange is still listed wrongly, a further change of the list must follow.
+            if self.wrongly_listed.is_empty() || last.end_us.is_some() {
+                last.end_us = last.end_us.max(Some(listed_us));
             }
             return;
         }
-        let what = if listing == ListedReadiness::Removed { "was gone" } else { "had started" };
+        let what = if readiness == ListedReadiness::Removed { "was gone" } else { "had started" };
         self.incidents.push(Incident {
             kind: IncidentKind::ListLag,
             exchange: None,
             softswitch: None,
-            begin_us: from,
-            end_us: Some(to),
-            evidence: format!("that {name} {what} was told {:.1} s later", late as f64 / 1e6),
+            begin_us: happened_us,
+            end_us: Some(listed_us),
+            evidence: format!("that {name} {what} was told {:.1} s later", delay_us as f64 / 1e6),
             flaps: 0,
             affected_calls: AffectedCalls::default(),
             triggered_by: None,
--- a/crates/report/src/incident/mod.rs
+++ b/crates/report/src/incident/mod.rs
@@ -1,8 +1,12 @@
-//! Incidents told from records alone: when a node died, stalled, slowed down or came back cold, when the list lagged
-//! behind what was seen, which softswitch ended without a word, and what each of these cost.
+//! Detects incidents from records alone: when a node died, stalled, slowed down or came back cold, when the list of
+//! exchanges lagged behind events, which softswitch crashed, where circuits ran out or calls were shed, and which calls
+//! each incident affected.
 //!
-//! [`Detector`] is handed the merged story in order and keeps a state machine for each node (`node.rs`), one for the
-//! list (`list.rs`) and a ledger of open calls (`cost.rs`). No I/O, and memory that grows with nodes and open calls.
+//! A node is an exchange with its host; it goes by the number of the exchange.
+//!
+//! [`Detector`] receives the merged timeline in order. It keeps a detector for each node (`node.rs`), one for the list
+//! (`list.rs`), one for refused calls (`refusals.rs`) and the open calls (`affected_calls.rs`). It does no I/O. Its
+//! memory grows with the number of nodes and open calls and with what it reports.
 
 mod affected_calls;
 pub mod episode;
@@ -15,35 +19,35 @@
 use swiftlb_record::merge::{EntryContent, TimelineEntry};
 use swiftlb_record::{DrainSource, Event};
 
-use affected_calls::Ledger;
+use affected_calls::CallTracker;
 use episode::Episode;
-use list::ListWatch;
-use node::NodeWatch;
-use refusals::{Fared, ServiceWatch};
+use list::ListLagDetector;
+use node::NodeDetector;
+use refusals::{CallOutcome, RefusalDetector};
 
-/// What went wrong.
+/// Kind of an incident. For those of a node the order is the severity: an earlier kind replaces a later one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum IncidentKind {
-    /// The process of a node was gone: its ways broke and new ones were refused.
+    /// The process of the exchange was gone: connections to it broke and new ones were refused.
     NodeDied,
-    /// It took set-ups and answered none.
+    /// The exchange accepted set-ups and answered none.
     NodeStalled,
-    /// It answered far slower than it used to.
+    /// The exchange answered much more slowly than before.
     NodeSlow,
-    /// Another process took its place.
+    /// Another process replaced the exchange.
     NodeReplaced,
-    /// The list told of a change long after it could be seen.
+    /// The list of exchanges showed a change long after it happened.
     ListLag,
-    /// A softswitch's records end without its having stopped.
+    /// The records of a softswitch end without [`Event::Stopped`].
     SoftswitchCrashed,
-    /// Calls to a node found no circuit free.
+    /// Calls to a node were refused because no circuit was free.
     NoFreeCircuits,
-    /// Calls to a node were shed though it had no trouble of its own.
+    /// Calls to a node were shed although it had no incident of its own.
     CallsShed,
 }
 
 impl IncidentKind {
-    /// Its word in timelines.
+    /// Label of its beginning in timelines, and of the kind in summaries.
     pub fn label(self) -> &'static str {
         match self {
             Self::NodeDied => "node-died",
@@ -57,7 +61,7 @@
         }
     }
 
-    /// The word for its end.
+    /// Label of its end in timelines.
     pub fn end_label(self) -> &'static str {
         match self {
             Self::NodeDied => "node-returned-cold",
@@ -72,178 +76,194 @@
     }
 }
 
-/// What an incident cost: calls that were lost because of it, each counted once.
+/// Calls that an incident affected, each counted once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AffectedCalls {
-    /// Stood and were cut.
+    /// Established calls that were cut.
     pub cut: u64,
-    /// Refused or failed after an attempt there.
+    /// Calls that were refused or failed, after an attempt there or because they were kept from it.
     pub lost: u64,
-    /// Given up by their callers while an attempt was out there.
+    /// Calls that their callers abandoned while an attempt there was open.
     pub abandoned: u64,
-    /// Stood in the end, after an attempt there had come to nothing.
+    /// Calls that were established after an attempt there had failed.
     pub delayed: u64,
 }
 
-/// One incident.
+/// An incident.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Incident {
-    /// What.
+    /// Kind of the incident.
     pub kind: IncidentKind,
-    /// The node, if it is one's.
+    /// Number of the node that it concerns, if any.
     pub exchange: Option<u32>,
-    /// The softswitch, if it is one's.
+    /// Index of the softswitch that it concerns, if any.
     pub softswitch: Option<usize>,
-    /// When it began, as far as the evidence goes back; corrected Unix microseconds.
+    /// When it began, as far back as the evidence shows, in corrected Unix microseconds.
     pub begin_us: u64,
-    /// When it was over; `None` if the records end before.
+    /// When it ended; `None` if the records end before that.
     pub end_us: Option<u64>,
-    /// What it was told from.
+    /// What shows it, as text for the report.
     pub evidence: String,
-    /// How often it came back before it was over: a node that flaps is one incident.
+    /// How often it recurred shortly after it had ended: a node that flaps is one incident.
     pub flaps: u32,
-    /// What it cost.
+    /// Calls that it affected.
     pub affected_calls: AffectedCalls,
-    /// Place of the incident that it came of, among all by beginning.
+    /// Index of the incident that triggered it, among all incidents in the order of their beginnings.
     pub triggered_by: Option<usize>,
 }
 
-/// A line of the timeline.
+/// An event of the report's timeline.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReportEvent {
-    /// Corrected Unix microseconds.
+    /// When it happened, in corrected Unix microseconds.
     pub at_us: u64,
-    /// The softswitch that it was told by or is about.
+    /// Index of the softswitch that recorded it or that it concerns.
     pub softswitch: Option<usize>,
-    /// One word.
+    /// Label of its kind.
     pub kind: &'static str,
-    /// The exchange, if it is about one.
+    /// Number of the exchange that it concerns, if any.
     pub exchange: Option<u32>,
-    /// In words.
+    /// Description for people.
     pub detail: String,
 }
 
-/// What was told of a whole story.
+/// What a merged timeline shows.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Analysis {
-    /// The incidents, by their beginnings.
+    /// The incidents, in the order of their beginnings.
     pub incidents: Vec<Incident>,
-    /// Which of them belong together.
+    /// Groups of incidents that belong together.
     pub episodes: Vec<Episode>,
-    /// All that is worth a line, in order.
+    /// Events for the report's timeline, in the order of time.
     pub events: Vec<ReportEvent>,
 }
 
-/// Tells incidents from a merged story.
+/// Detects incidents in a merged timeline.
 #[derive(Debug)]
 pub struct Detector {
-    homes: Vec<Option<u32>>,
-    nodes: BTreeMap<u32, NodeWatch>,
-    list: ListWatch,
-    service: ServiceWatch,
-    ledger: Ledger,
+    home_exchanges: Vec<Option<u32>>,
+    nodes: BTreeMap<u32, NodeDetector>,
+    list: ListLagDetector,
+    refusals: RefusalDetector,
+    call_tracker: CallTracker,
     events: Vec<ReportEvent>,
     incidents: Vec<Incident>,
-    /// Softswitches whose records have ended without a word, and when.
-    ended: BTreeMap<usize, u64>,
+    /// Softswitches whose last records are not of a normal stop, and when these records end.
+    unclean_ends: BTreeMap<usize, u64>,
+    /// For each softswitch, whether its process runs.
     running: Vec<bool>,
-    ticked_us: u64,
-    settled_us: u64,
-    last_us: u64,
+    last_tick_us: u64,
+    last_attribution_us: u64,
+    /// Time of the latest entry.
+    latest_us: u64,
 }
 
-/// Time between two charges of what was lost.
-const SETTLE_US: u64 = 10_000_000;
-/// Time between two looks at what has not happened.
-const TICK_US: u64 = 100_000;
-/// A softswitch whose records end is taken to have crashed once others have gone on for so long.
-const SILENT_US: u64 = 3_000_000;
+/// Time between two runs that attribute affected calls to incidents.
+const ATTRIBUTION_INTERVAL_US: u64 = 10_000_000;
+/// Interval of the checks for what has not happened, such as a missing answer.
+const TICK_INTERVAL_US: u64 = 100_000;
+/// A softswitch counts as crashed when the records of others go on for this long after its own have ended.
+const CRASH_CONFIRMATION_US: u64 = 3_000_000;
 
 impl Detector {
-    /// For softswitches whose own exchanges have these numbers.
-    pub fn new(homes: &[Option<u32>]) -> Self {
+    /// Creates a detector for softswitches with these home exchanges.
+    pub fn new(home_exchanges: &[Option<u32>]) -> Self {
         Self {
-            homes: homes.to_vec(),
+            home_exchanges: home_exchanges.to_vec(),
             nodes: BTreeMap::new(),
-            list: ListWatch::default(),
-            service: ServiceWatch::default(),
-            ledger: Ledger::new(homes),
+            list: ListLagDetector::default(),
+            refusals: RefusalDetector::default(),
+            call_tracker: CallTracker::new(home_exchanges),
             events: Vec::new(),
             incidents: Vec::new(),
-            ended: BTreeMap::new(),
-            running: vec![false; homes.len()],
-            ticked_us: 0,
-            settled_us: 0,
-            last_us: 0,
+            unclean_ends: BTreeMap::new(),
+            running: vec![false; home_exchanges.len()],
+            last_tick_us: 0,
+            last_attribution_us: 0,
+            latest_us: 0,
         }
     }
 
-    /// Takes the next of the story.
-    pub fn observe(&mut self, told: &TimelineEntry) {
-        self.last_us = self.last_us.max(told.at_us);
-        if self.last_us >= self.ticked_us + TICK_US {
-            self.ticked_us = self.last_us;
+    /// Processes the next entry of the merged timeline.
+    pub fn observe(&mut self, entry: &TimelineEntry) {
+        self.latest_us = self.latest_us.max(entry.at_us);
+        if self.latest_us >= self.last_tick_us + TICK_INTERVAL_US {
+            self.last_tick_us = self.latest_us;
             self.tick();
         }
-        let (at, who) = (told.at_us, told.softswitch);
-        match &told.content {
+        let (at_us, softswitch) = (entry.at_us, entry.softswitch);
+        match &entry.content {
             EntryContent::Context(_) => {}
             EntryContent::Gap(gap) => {
                 let lost =
                     gap.lost_records.map_or("an unknown number of".to_owned(), |records| records.to_string());
                 let detail = format!("{lost} records are missing: {} bytes are {:?}", gap.bytes, gap.damage);
-                self.line(at, Some(who), "gap", None, detail.to_lowercase());
+                self.push_event(at_us, Some(softswitch), "gap", None, detail.to_lowercase());
             }
-            EntryContent::RunEnded { clean: true } => self.running[who] = false,
+            EntryContent::RunEnded { clean: true } => self.running[softswitch] = false,
             EntryContent::RunEnded { clean: false } => {
-                self.running[who] = false;
-                self.ended.insert(who, at);
+                self.running[softswitch] = false;
+                self.unclean_ends.insert(softswitch, at_us);
             }
-            EntryContent::Event(event) => self.see_event(at, who, event),
+            EntryContent::Event(event) => self.observe_event(at_us, softswitch, event),
         }
     }
 
-    fn line(
+    fn push_event(
         &mut self,
         at_us: u64,
-        who: Option<usize>,
+        source: Option<usize>,
         kind: &'static str,
         exchange: Option<u32>,
         detail: String,
     ) {
-        self.events.push(ReportEvent { at_us, softswitch: who, kind, exchange, detail });
+        self.events.push(ReportEvent { at_us, softswitch: source, kind, exchange, detail });
     }
 
-    fn node(&mut self, exchange: u32) -> &mut NodeWatch {
-        self.nodes.entry(exchange).or_insert_with(|| NodeWatch::new(exchange))
+    fn node_mut(&mut self, exchange: u32) -> &mut NodeDetector {
+        self.nodes.entry(exchange).or_insert_with(|| NodeDetector::new(exchange))
     }
 
-    fn see_event(&mut self, at: u64, who: usize, event: &Event) {
-        let spent = self.ledger.see(at, who, event);
+    fn observe_event(&mut self, at_us: u64, softswitch: usize, event: &Event) {
+        let call_update = self.call_tracker.observe(at_us, softswitch, event);
         match event {
             Event::Started { version, is_replacement, .. } => {
-                self.running[who] = true;
-                if let Some(since) = self.ended.remove(&who) {
-                    self.crashed(who, since, Some(at));
+                self.running[softswitch] = true;
+                if let Some(ended_us) = self.unclean_ends.remove(&softswitch) {
+                    self.add_crash(softswitch, ended_us, Some(at_us));
                 }
                 let how = if *is_replacement { "in the place of a running process" } else { "from nothing" };
-                self.line(at, Some(who), "softswitch-started", None, format!("version {version}, {how}"));
-            }
-            Event::Stopping => {
-                self.line(at, Some(who), "softswitch-stopping", None, "told to stop".to_owned())
-            }
-            Event::Stopped => {
-                self.line(at, Some(who), "softswitch-stopped", None, "ended in good order".to_owned())
+                self.push_event(
+                    at_us,
+                    Some(softswitch),
+                    "softswitch-started",
+                    None,
+                    format!("version {version}, {how}"),
+                );
             }
+            Event::Stopping => self.push_event(
+                at_us,
+                Some(softswitch),
+                "softswitch-stopping",
+                None,
+                "told to stop".to_owned(),
+            ),
+            Event::Stopped => self.push_event(
+                at_us,
+                Some(softswitch),
+                "softswitch-stopped",
+                None,
+                "ended in good order".to_owned(),
+            ),
             Event::Drain { on, by } => {
                 let by = if *by == DrainSource::Operator { "an operator" } else { "the platform" };
                 let kind = if *on { "drain-begins" } else { "drain-ends" };
-                self.line(at, Some(who), kind, None, format!("ordered by {by}"));
+                self.push_event(at_us, Some(softswitch), kind, None, format!("ordered by {by}"));
             }
             Event::RecordsLost { records } => {
-                self.line(
-                    at,
-                    Some(who),
+                self.push_event(
+                    at_us,
+                    Some(softswitch),
                     "records-lost",
                     None,
                     format!("{records} records came too fast to be kept"),
@@ -251,93 +271,110 @@
             }
             Event::Avoidance { exchange, avoided } => {
                 let kind = if *avoided { "avoided" } else { "used-again" };
-                let home = self.homes[who]
+                let home = self.home_exchanges[softswitch]
                     .map_or(String::new(), |home| format!(" by the softswitch of node {home}"));
-                self.line(at, Some(who), kind, Some(*exchange), format!("node {exchange} is {kind}{home}"));
+                self.push_event(
+                    at_us,
+                    Some(softswitch),
+                    kind,
+                    Some(*exchange),
+                    format!("node {exchange} is {kind}{home}"),
+                );
             }
             Event::Exchange { exchange, name, readiness, started_us, .. } => {
                 let (exchange, readiness) = (*exchange, *readiness);
-                let evidence = self.node(exchange).last_death();
-                if let Some(line) = self.list.told(at, (exchange, name), readiness, *started_us, evidence) {
-                    self.line(at, Some(who), line.0, Some(exchange), line.1);
+                let died_us = self.node_mut(exchange).last_died_us();
+                if let Some(news) =
+                    self.list.entry_listed(at_us, (exchange, name), readiness, *started_us, died_us)
+                {
+                    self.push_event(at_us, Some(softswitch), news.0, Some(exchange), news.1);
                 }
-                self.node(exchange).listed(at, name, readiness, *started_us);
+                self.node_mut(exchange).list_entry_changed(at_us, name, readiness, *started_us);
             }
             Event::ExchangeConnection { exchange, change } => {
-                let observers = self.running.iter().filter(|runs| **runs).count();
-                self.node(*exchange).way(at, who, *change, observers);
+                let running_softswitches = self.running.iter().filter(|runs| **runs).count();
+                self.node_mut(*exchange).connection_changed(at_us, softswitch, *change, running_softswitches);
             }
             Event::Attempt { exchange, .. } => {
-                self.node(*exchange).sent(at, spent.key);
+                self.node_mut(*exchange).attempt_sent(at_us, call_update.call_key);
             }
             Event::AttemptEnded { exchange, outcome, .. } => {
-                self.node(*exchange).ended(at, spent.key, *outcome);
+                self.node_mut(*exchange).attempt_ended(at_us, call_update.call_key, *outcome);
             }
             Event::Answered { exchange, .. } => {
-                if let Some(dest) = spent.dest {
-                    self.service.fared(at, dest, Fared::Served);
+                if let Some(dest) = call_update.dest {
+                    self.refusals.call_ended(at_us, dest, CallOutcome::Served);
                 }
-                self.node(*exchange).answered(at, spent.key, spent.direct);
+                self.node_mut(*exchange).attempt_answered(at_us, call_update.call_key, call_update.direct);
             }
             Event::Released { exchange: Some(exchange), cut: true, .. } => {
-                self.node(*exchange).forget(spent.key);
+                self.node_mut(*exchange).forget_attempt(call_update.call_key);
             }
             Event::Refused { .. } | Event::Failed { .. } | Event::Abandoned { .. } => {
-                if let Some(dest) = spent.dest {
-                    let how = match event {
-                        Event::Refused { reason, .. } => Fared::refused(*reason),
-                        _ => Fared::Other,
+                if let Some(dest) = call_update.dest {
+                    let call_outcome = match event {
+                        Event::Refused { reason, .. } => CallOutcome::of_refusal(*reason),
+                        _ => CallOutcome::Other,
                     };
-                    self.service.fared(at, dest, how);
+                    self.refusals.call_ended(at_us, dest, call_outcome);
                 }
-                if let Some(exchange) = spent.out_at {
-                    self.node(exchange).forget(spent.key);
+                if let Some(exchange) = call_update.attempt_at {
+                    self.node_mut(exchange).forget_attempt(call_update.call_key);
                 }
             }
             _ => {}
         }
     }
 
-    /// Looks at what has not happened.
+    /// Checks for what has not happened by now: answers, a change of the list, further records of a softswitch.
     fn tick(&mut self) {
-        let now = self.last_us;
+        let now_us = self.latest_us;
         for node in self.nodes.values_mut() {
-            node.tick(now);
+            node.tick(now_us);
         }
-        let dead: Vec<(u32, u64)> =
-            self.nodes.iter().filter_map(|(exchange, node)| Some((*exchange, node.dead_since()?))).collect();
-        self.list.compare(now, &dead);
+        let dead: Vec<(u32, u64)> = self
+            .nodes
+            .iter()
+            .filter_map(|(exchange, node)| Some((*exchange, node.dead_since_us()?)))
+            .collect();
+        self.list.compare(now_us, &dead);
         let nodes = &self.nodes;
-        // A dead, stalled, slow or cold node turns calls away for that reason.
-        self.service.tick(now, |dest| nodes.get(&dest).is_some_and(|node| node.explains(now)));
-        let silent: Vec<(usize, u64)> =
-            self.ended.iter().filter(|(_, at)| **at + SILENT_US < now).map(|(who, at)| (*who, *at)).collect();
-        for (who, since) in silent {
-            self.ended.remove(&who);
-            self.crashed(who, since, None);
+        // Calls to a dead, stalled, slow or cold node are refused for that reason, which is an incident already.
+        self.refusals
+            .tick(now_us, |dest| nodes.get(&dest).is_some_and(|node| node.explains_refusals(now_us)));
+        let crashed: Vec<(usize, u64)> = self
+            .unclean_ends
+            .iter()
+            .filter(|(_, at_us)| **at_us + CRASH_CONFIRMATION_US < now_us)
+            .map(|(softswitch, at_us)| (*softswitch, *at_us))
+            .collect();
+        for (softswitch, ended_us) in crashed {
+            self.unclean_ends.remove(&softswitch);
+            self.add_crash(softswitch, ended_us, None);
         }
-        if now >= self.settled_us + SETTLE_US {
-            self.settled_us = now;
-            let known: Vec<&Incident> = self
+        if now_us >= self.last_attribution_us + ATTRIBUTION_INTERVAL_US {
+            self.last_attribution_us = now_us;
+            let incidents: Vec<&Incident> = self
                 .nodes
                 .values()
-                .flat_map(NodeWatch::incidents)
-                .chain(self.service.incidents())
+                .flat_map(NodeDetector::incidents)
+                .chain(self.refusals.incidents())
                 .chain(&self.incidents)
                 .collect();
-            self.ledger.settle(now.saturating_sub(affected_calls::SETTLED_US), &known);
+            self.call_tracker
+                .attribute_until(now_us.saturating_sub(affected_calls::ATTRIBUTION_DELAY_US), &incidents);
         }
     }
 
-    /// A softswitch has ended without a word; once it is known to be back, that ends the same incident.
-    fn crashed(&mut self, who: usize, since: u64, back: Option<u64>) {
+    /// Adds the crash of a softswitch: when its records ended, and when it was back, if it is.
+    fn add_crash(&mut self, softswitch: usize, ended_us: u64, back_us: Option<u64>) {
         let evidence = "its records end without its having stopped".to_owned();
         self.incidents.push(Incident {
             kind: IncidentKind::SoftswitchCrashed,
-            exchange: self.homes[who],
-            softswitch: Some(who),
-            begin_us: since,
-            end_us: back,
+            exchange: self.home_exchanges[softswitch],
+            softswitch: Some(softswitch),
+            begin_us: ended_us,
+            end_us: back_us,
             evidence,
             flaps: 0,
             affected_calls: AffectedCalls::default(),
@@ -345,7 +382,7 @@
         });
     }
 
-    /// The story is over.
+    /// Completes the analysis at the end of the timeline.
     pub fn finish(mut self) -> Analysis {
         self.tick();
         let mut incidents = self.incidents;
@@ -353,27 +390,27 @@
             incidents.extend(node.finish());
         }
         incidents.extend(self.list.finish());
-        incidents.extend(self.service.finish());
-        // A softswitch that came back after it was given up for lost.
+        incidents.extend(self.refusals.finish());
+        // A softswitch that started again after its crash had been reported.
         for incident in
             incidents.iter_mut().filter(|i| i.kind == IncidentKind::SoftswitchCrashed && i.end_us.is_none())
         {
-            let back = self.events.iter().find(|line| {
-                line.kind == "softswitch-started"
-                    && line.softswitch == incident.softswitch
-                    && line.at_us > incident.begin_us
+            let restart = self.events.iter().find(|event| {
+                event.kind == "softswitch-started"
+                    && event.softswitch == incident.softswitch
+                    && event.at_us > incident.begin_us
             });
-            incident.end_us = back.map(|line| line.at_us);
+            incident.end_us = restart.map(|event| event.at_us);
         }
-        self.ledger.charge(&mut incidents);
+        self.call_tracker.write_affected_calls(&mut incidents);
         incidents.sort_by_key(|incident| (incident.begin_us, incident.kind, incident.exchange));
-        episode::link(&mut incidents);
-        let episodes = episode::group(&incidents);
+        episode::find_triggers(&mut incidents);
+        let episodes = episode::group_into_episodes(&incidents);
         let mut events = self.events;
         for incident in &incidents {
             let (softswitch, exchange) = (incident.softswitch, incident.exchange);
-            let line = |at_us, kind, detail| ReportEvent { at_us, softswitch, kind, exchange, detail };
-            events.push(line(incident.begin_us, incident.kind.label(), incident.evidence.clone()));
+            let event = |at_us, kind, detail| ReportEvent { at_us, softswitch, kind, exchange, detail };
+            events.push(event(incident.begin_us, incident.kind.label(), incident.evidence.clone()));
             if let Some(end) = incident.end_us {
                 let lasted = end.saturating_sub(incident.begin_us) as f64 / 1e6;
                 let flaps = if incident.flaps > 0 {
@@ -381,10 +418,10 @@
                 } else {
                     String::new()
                 };
-                events.push(line(end, incident.kind.end_label(), format!("after {lasted:.1} s{flaps}")));
+                events.push(event(end, incident.kind.end_label(), format!("after {lasted:.1} s{flaps}")));
             }
         }
-        events.sort_by_key(|line| line.at_us);
+        events.sort_by_key(|event| event.at_us);
         Analysis { incidents, episodes, events }
     }
 }
--- a/crates/report/src/incident/node.rs
+++ b/crates/report/src/incident/node.rs
@@ -1,4 +1,4 @@
-//! One node's state machine: what the softswitches together saw of it.
+//! Detects incidents of one node from what all softswitches recorded about it.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -6,132 +6,148 @@
 
 use super::{AffectedCalls, Incident, IncidentKind};
 
-/// A call at the softswitch that made the attempt.
-pub(super) type Key = (usize, u64);
+/// A call: index of the softswitch that recorded it, and its call uid.
+pub(super) type CallKey = (usize, u64);
 
-/// A node is dead once so many softswitches were refused (all of them where there are fewer), within this time.
-const WITNESSES: usize = 2;
-const TOGETHER_US: u64 = 3_000_000;
-/// It is stalled once so many attempts are out there, the oldest for so long, and nothing has come since that went out.
-const STALL_OUT: usize = 3;
-const STALL_US: u64 = 1_500_000;
-/// It is slow once the quicker answers of the last ones take so many times what such take usually, and so much longer,
-/// for so long; and as fast as before once they take less than the lower multiple for as long. The quicker ones: queues
-/// stretch the middle of a busy day by as much as a slow processor does, and softswitches that shed keep queues short.
-const QUICKER: f64 = 0.1;
-const SLOW_TIMES: f64 = 2.0;
-const FAST_TIMES: f64 = 1.4;
-const SLOW_MORE_US: f64 = 40_000.0;
-const SLOW_FOR_US: u64 = 1_500_000;
-/// Answers of this time count; fewer than so many say nothing.
-const RECENT_US: u64 = 3_000_000;
-const FEWEST: usize = 6;
-/// What is usual is looked at this often, each look moves it by so much at least, and it counts after so many.
-const LEARN_EVERY_US: u64 = 500_000;
-const USUAL_PART: f64 = 0.02;
-const LEARN: u32 = 6;
-/// A processor that has just started is cold, and slow for that reason alone.
-const COLD_US: u64 = 15_000_000;
-/// What piled up during a stall is worked off within this time.
-const BACKLOG_US: u64 = 8_000_000;
-/// Trouble that comes back this soon after its end is the same incident.
-const FLAP_US: u64 = 10_000_000;
+/// Number of softswitches whose connections must be refused for the node to count as dead; where fewer run beside the
+/// node's own, all of them.
+const MIN_REFUSED_SOFTSWITCHES: usize = 2;
+/// Window within which these refusals must occur.
+const REFUSAL_WINDOW_US: u64 = 3_000_000;
+/// Minimum number of open attempts, sent after the node's last message, for the node to count as stalled.
+const MIN_STALLED_ATTEMPTS: usize = 3;
+/// Minimum age of the oldest of them.
+const MIN_STALL_US: u64 = 1_500_000;
+/// Quantile of the recent set-up times by which slowness is judged. It is low because on a busy day queues raise the
+/// median as much as a slow processor does, and softswitches that shed calls keep queues short.
+const SETUP_TIME_QUANTILE: f64 = 0.1;
+/// A node is slow when that quantile exceeds this multiple of its baseline and also the minimum excess.
+const SLOW_FACTOR: f64 = 2.0;
+/// A slow node has recovered when the quantile is below this multiple of the baseline, or above the baseline by less than
+/// half the minimum excess.
+const RECOVERED_FACTOR: f64 = 1.4;
+/// Minimum excess of a slow node's quantile over its baseline.
+const MIN_SLOW_EXCESS_US: f64 = 40_000.0;
+/// Time for which a node must be slow before an incident is reported, or must have recovered before it ends.
+const MIN_SLOW_DURATION_US: u64 = 1_500_000;
+/// Window of the recent set-up times.
+const SETUP_TIME_WINDOW_US: u64 = 3_000_000;
+/// Minimum number of set-up times in the window; fewer prove nothing.
+const MIN_SETUP_TIMES: usize = 6;
+/// Minimum time between two updates of the baseline.
+const BASELINE_INTERVAL_US: u64 = 500_000;
+/// Minimum weight of the new value in an update; the first updates form a plain average.
+const MIN_BASELINE_WEIGHT: f64 = 0.02;
+/// Number of updates before the baseline is used.
+const MIN_BASELINE_UPDATES: u32 = 6;
+/// Time after its start during which an exchange is cold, which alone makes it slow.
+const COLD_PERIOD_US: u64 = 15_000_000;
+/// Time after a stall during which the backlog of the stall may still slow the node down.
+const MAX_BACKLOG_US: u64 = 8_000_000;
+/// An incident that recurs this soon after its end is continued, not counted as a new one.
+const MAX_FLAP_GAP_US: u64 = 10_000_000;
 
-/// What is known of a node.
+/// State of one node: the evidence collected so far, its current incident and its earlier ones.
 #[derive(Debug)]
-pub(super) struct NodeWatch {
+pub(super) struct NodeDetector {
     exchange: u32,
-    /// For each softswitch, when its way was lost and when it was last refused; none while it is up.
-    down: BTreeMap<usize, (u64, Option<u64>)>,
-    /// Attempts out, and when they were sent.
-    out: HashMap<Key, u64>,
-    heard_us: u64,
-    /// Direct answers of late: when, and how long they took.
-    recent: VecDeque<(u64, f64)>,
-    usual_us: f64,
-    learnt: u32,
-    usual_at: u64,
-    slow_since: Option<u64>,
-    fast_since: Option<u64>,
+    /// Softswitches without a connection to the node: when the connection was lost, and when a new one was last refused.
+    lost_conns: BTreeMap<usize, (u64, Option<u64>)>,
+    /// Open attempts to the node, with the time when each was sent.
+    open_attempts: HashMap<CallKey, u64>,
+    /// When the last message of the node arrived.
+    last_heard_us: u64,
+    /// Recent calls that it answered as their destination: time of the answer, and set-up time in microseconds.
+    recent_setups: VecDeque<(u64, f64)>,
+    /// Usual value of the quantile while the node has no incident, in microseconds.
+    baseline_us: f64,
+    baseline_updates: u32,
+    baseline_updated_us: u64,
+    slow_since_us: Option<u64>,
+    recovered_since_us: Option<u64>,
+    /// Last start of its process that was seen or listed.
     started_us: Option<u64>,
-    /// Until when a backlog explains slow answers.
-    backlog_until: u64,
+    /// Until when the backlog of a stall explains slow answers.
+    backlog_until_us: u64,
+    /// Name of the exchange in the list; it changes when the exchange is replaced.
     name: String,
-    draining_since: Option<u64>,
-    /// What goes on now.
-    open: Option<Incident>,
-    over: Vec<Incident>,
+    draining_since_us: Option<u64>,
+    current: Option<Incident>,
+    past: Vec<Incident>,
 }
 
-impl NodeWatch {
+impl NodeDetector {
     pub(super) fn new(exchange: u32) -> Self {
         Self {
             exchange,
-            down: BTreeMap::new(),
-            out: HashMap::new(),
-            heard_us: 0,
-            recent: VecDeque::new(),
-            usual_us: 0.0,
-            learnt: 0,
-            usual_at: 0,
-            slow_since: None,
-            fast_since: None,
+            lost_conns: BTreeMap::new(),
+            open_attempts: HashMap::new(),
+            last_heard_us: 0,
+            recent_setups: VecDeque::new(),
+            baseline_us: 0.0,
+            baseline_updates: 0,
+            baseline_updated_us: 0,
+            slow_since_us: None,
+            recovered_since_us: None,
             started_us: None,
-            backlog_until: 0,
+            backlog_until_us: 0,
             name: String::new(),
-            draining_since: None,
-            open: None,
-            over: Vec::new(),
+            draining_since_us: None,
+            current: None,
+            past: Vec::new(),
         }
     }
 
-    /// Since when its process is gone, if it is now.
-    pub(super) fn dead_since(&self) -> Option<u64> {
-        self.open.as_ref().filter(|open| open.kind == IncidentKind::NodeDied).map(|open| open.begin_us)
+    /// Since when the node is dead, if it is dead now.
+    pub(super) fn dead_since_us(&self) -> Option<u64> {
+        self.current
+            .as_ref()
+            .filter(|current| current.kind == IncidentKind::NodeDied)
+            .map(|current| current.begin_us)
     }
 
-    /// When its process was last known to go, whether it is back by now or not.
-    pub(super) fn last_death(&self) -> Option<u64> {
-        let mut all = self.open.iter().chain(self.over.iter().rev());
+    /// When the node last died, whether it is back by now or not.
+    pub(super) fn last_died_us(&self) -> Option<u64> {
+        let mut all = self.current.iter().chain(self.past.iter().rev());
         all.find(|incident| incident.kind == IncidentKind::NodeDied).map(|death| death.begin_us)
     }
 
-    /// Whether its own state explains that calls to it are turned away: it is in trouble, was until a moment ago, or is
-    /// cold.
-    pub(super) fn explains(&self, now: u64) -> bool {
-        let lately = |incident: &Incident| incident.end_us.is_some_and(|end| now < end + COLD_US);
-        self.open.is_some() || self.over.last().is_some_and(lately) || self.is_cold(now)
+    /// Whether the node's own state explains that calls to it are refused: it has an incident now, had one until shortly
+    /// before, or is cold.
+    pub(super) fn explains_refusals(&self, now_us: u64) -> bool {
+        let ended_recently =
+            |incident: &Incident| incident.end_us.is_some_and(|end| now_us < end + COLD_PERIOD_US);
+        self.current.is_some() || self.past.last().is_some_and(ended_recently) || self.is_cold(now_us)
     }
 
-    fn is_cold(&self, now: u64) -> bool {
-        self.started_us.is_some_and(|started| now < started + COLD_US)
+    fn is_cold(&self, now_us: u64) -> bool {
+        self.started_us.is_some_and(|started| now_us < started + COLD_PERIOD_US)
     }
 
-    /// All that is known so far.
+    /// All incidents so far, the current one included.
     pub(super) fn incidents(&self) -> impl Iterator<Item = &Incident> {
-        self.over.iter().chain(&self.open)
+        self.past.iter().chain(&self.current)
     }
 
-    /// Begins an incident, or goes on with one that had only just ended.
-    fn begin(&mut self, kind: IncidentKind, begin_us: u64, evidence: String) {
-        if let Some(open) = &self.open {
-            // What is worse takes the place of what is less: a node that dies is no longer slow.
-            if open.kind <= kind {
+    /// Begins an incident, or continues the last one if that was of the same kind and has only just ended.
+    fn begin_incident(&mut self, kind: IncidentKind, begin_us: u64, evidence: String) {
+        if let Some(current) = &self.current {
+            // A more severe kind replaces a less severe one: a node that dies is no longer slow.
+            if current.kind <= kind {
                 return;
             }
-            self.end(begin_us);
+            self.end_incident(begin_us);
         }
-        let again = self
-            .over
-            .last()
-            .is_some_and(|last| last.kind == kind && last.end_us.is_some_and(|end| begin_us < end + FLAP_US));
-        if again && let Some(mut last) = self.over.pop() {
+        let is_flap = self.past.last().is_some_and(|last| {
+            last.kind == kind && last.end_us.is_some_and(|end| begin_us < end + MAX_FLAP_GAP_US)
+        });
+        if is_flap && let Some(mut last) = self.past.pop() {
             last.end_us = None;
             last.flaps += 1;
-            self.open = Some(last);
+            self.current = Some(last);
             return;
         }
-        self.open = Some(Incident {
+        self.current = Some(Incident {
             kind,
             exchange: Some(self.exchange),
             softswitch: None,
@@ -144,191 +160,221 @@
         });
     }
 
-    fn end(&mut self, at: u64) {
-        if let Some(mut open) = self.open.take() {
-            open.end_us = Some(at.max(open.begin_us));
-            self.over.push(open);
+    fn end_incident(&mut self, at_us: u64) {
+        if let Some(mut current) = self.current.take() {
+            current.end_us = Some(at_us.max(current.begin_us));
+            self.past.push(current);
         }
-        (self.slow_since, self.fast_since) = (None, None);
+        (self.slow_since_us, self.recovered_since_us) = (None, None);
     }
 
-    fn is(&self, kind: IncidentKind) -> bool {
-        self.open.as_ref().is_some_and(|open| open.kind == kind)
+    fn is_current(&self, kind: IncidentKind) -> bool {
+        self.current.as_ref().is_some_and(|current| current.kind == kind)
     }
 
-    pub(super) fn way(&mut self, at: u64, who: usize, change: ConnectionChange, observers: usize) {
+    pub(super) fn connection_changed(
+        &mut self,
+        at_us: u64,
+        softswitch: usize,
+        change: ConnectionChange,
+        running_softswitches: usize,
+    ) {
         match change {
             ConnectionChange::Up => {
-                self.down.remove(&who);
-                if self.is(IncidentKind::NodeDied) {
-                    self.end(at);
-                    self.started(at);
+                self.lost_conns.remove(&softswitch);
+                if self.is_current(IncidentKind::NodeDied) {
+                    self.end_incident(at_us);
+                    self.process_started(at_us);
                 }
             }
             ConnectionChange::Lost | ConnectionChange::TimedOut => {
-                self.down.entry(who).or_insert((at, None));
+                self.lost_conns.entry(softswitch).or_insert((at_us, None));
             }
             ConnectionChange::Refused => {
-                self.down.entry(who).or_insert((at, None)).1 = Some(at);
-                let refused =
-                    self.down.values().filter(|(_, refused)| refused.is_some_and(|r| r + TOGETHER_US >= at));
+                self.lost_conns.entry(softswitch).or_insert((at_us, None)).1 = Some(at_us);
+                let refused = self
+                    .lost_conns
+                    .values()
+                    .filter(|(_, refused)| refused.is_some_and(|r| r + REFUSAL_WINDOW_US >= at_us));
                 let refused: Vec<u64> = refused.map(|(lost, _)| *lost).collect();
-                // The node's own softswitch has no way to it.
-                let enough = WITNESSES.min(observers.saturating_sub(1)).max(1);
-                if refused.len() >= enough && !self.is(IncidentKind::NodeDied) {
-                    let recent = refused.iter().filter(|lost| **lost + TOGETHER_US >= at).min();
-                    let begin = recent.copied().unwrap_or(at);
+                // The node's own softswitch has no connection to it, so it cannot see one refused.
+                let required = MIN_REFUSED_SOFTSWITCHES.min(running_softswitches.saturating_sub(1)).max(1);
+                if refused.len() >= required && !self.is_current(IncidentKind::NodeDied) {
+                    let recent = refused.iter().filter(|lost| **lost + REFUSAL_WINDOW_US >= at_us).min();
+                    let begin = recent.copied().unwrap_or(at_us);
                     let evidence = format!("{} softswitches were refused a way to it", refused.len());
-                    self.begin(IncidentKind::NodeDied, begin, evidence);
+                    self.begin_incident(IncidentKind::NodeDied, begin, evidence);
                 }
             }
         }
     }
 
-    /// A new process runs there.
-    fn started(&mut self, at: u64) {
-        self.started_us = Some(at);
-        self.recent.clear();
-        self.out.clear();
-        self.heard_us = at;
+    /// A new process serves the exchange: discards the attempts and set-up times of the earlier one.
+    fn process_started(&mut self, at_us: u64) {
+        self.started_us = Some(at_us);
+        self.recent_setups.clear();
+        self.open_attempts.clear();
+        self.last_heard_us = at_us;
     }
 
-    pub(super) fn listed(&mut self, at: u64, name: &str, listing: ListedReadiness, started_us: u64) {
-        // While the list has it no more nobody looks whether it is back; once the list does, it says since when.
-        if listing == ListedReadiness::Ready
-            && self
-                .open
-                .as_ref()
-                .is_some_and(|open| open.kind == IncidentKind::NodeDied && started_us > open.begin_us)
+    pub(super) fn list_entry_changed(
+        &mut self,
+        at_us: u64,
+        name: &str,
+        readiness: ListedReadiness,
+        started_us: u64,
+    ) {
+        // While the list does not contain the exchange, no softswitch connects to it and sees that it is back. The list
+        // entry that brings it back has the time of its start.
+        if readiness == ListedReadiness::Ready
+            && self.current.as_ref().is_some_and(|current| {
+                current.kind == IncidentKind::NodeDied && started_us > current.begin_us
+            })
         {
-            self.end(started_us.min(at));
-            self.started(started_us.min(at));
+            self.end_incident(started_us.min(at_us));
+            self.process_started(started_us.min(at_us));
         }
-        match listing {
+        match readiness {
             ListedReadiness::Draining => {
-                self.draining_since.get_or_insert(at);
+                self.draining_since_us.get_or_insert(at_us);
             }
             ListedReadiness::Ready if !self.name.is_empty() && self.name != name => {
-                let begin = self.draining_since.take().unwrap_or(at);
-                if self.is(IncidentKind::NodeDied) {
-                    self.end(at);
+                let begin = self.draining_since_us.take().unwrap_or(at_us);
+                if self.is_current(IncidentKind::NodeDied) {
+                    self.end_incident(at_us);
                 }
-                let known = self
-                    .over
+                // Softswitches record the same replacement at slightly different times; it counts once.
+                let already_reported = self
+                    .past
                     .iter()
                     .any(|i| i.kind == IncidentKind::NodeReplaced && i.begin_us + 1_000_000 > begin);
-                if !known {
+                if !already_reported {
                     let evidence = format!("the list has {name} in the place of {}", self.name);
-                    self.begin(IncidentKind::NodeReplaced, begin, evidence);
-                    self.end(at);
-                    self.started(at);
+                    self.begin_incident(IncidentKind::NodeReplaced, begin, evidence);
+                    self.end_incident(at_us);
+                    self.process_started(at_us);
                 }
                 name.clone_into(&mut self.name);
             }
             ListedReadiness::Ready => {
-                self.draining_since = None;
+                self.draining_since_us = None;
                 name.clone_into(&mut self.name);
             }
             ListedReadiness::Removed => {}
         }
     }
 
-    pub(super) fn sent(&mut self, at: u64, key: Key) {
-        self.out.insert(key, at);
+    pub(super) fn attempt_sent(&mut self, at_us: u64, call_key: CallKey) {
+        self.open_attempts.insert(call_key, at_us);
     }
 
-    pub(super) fn forget(&mut self, key: Key) {
-        self.out.remove(&key);
+    pub(super) fn forget_attempt(&mut self, call_key: CallKey) {
+        self.open_attempts.remove(&call_key);
     }
 
-    pub(super) fn ended(&mut self, at: u64, key: Key, outcome: AttemptOutcome) {
-        self.out.remove(&key);
-        // What the softswitch decided itself says nothing of the node.
+    pub(super) fn attempt_ended(&mut self, at_us: u64, call_key: CallKey, outcome: AttemptOutcome) {
+        self.open_attempts.remove(&call_key);
+        // Only these outcomes are replies of the node; the others say nothing about it.
         if matches!(outcome, AttemptOutcome::Busy | AttemptOutcome::Congested) {
-            self.hear(at);
+            self.message_received(at_us);
         }
     }
 
-    pub(super) fn answered(&mut self, at: u64, key: Key, direct: bool) {
-        let sent = self.out.remove(&key);
-        self.hear(at);
+    pub(super) fn attempt_answered(&mut self, at_us: u64, call_key: CallKey, direct: bool) {
+        let sent = self.open_attempts.remove(&call_key);
+        self.message_received(at_us);
         let Some(sent) = sent.filter(|_| direct) else { return };
-        self.recent.push_back((at, at.saturating_sub(sent) as f64));
+        self.recent_setups.push_back((at_us, at_us.saturating_sub(sent) as f64));
     }
 
-    /// The node has said something itself.
-    fn hear(&mut self, at: u64) {
-        self.heard_us = at;
-        if self.is(IncidentKind::NodeStalled) {
-            self.end(at);
-            self.backlog_until = at + BACKLOG_US;
+    /// A message of the node itself arrived, which ends a stall.
+    fn message_received(&mut self, at_us: u64) {
+        self.last_heard_us = at_us;
+        if self.is_current(IncidentKind::NodeStalled) {
+            self.end_incident(at_us);
+            self.backlog_until_us = at_us + MAX_BACKLOG_US;
         }
     }
 
-    pub(super) fn tick(&mut self, now: u64) {
-        while self.recent.front().is_some_and(|(at, _)| at + RECENT_US < now) {
-            self.recent.pop_front();
+    pub(super) fn tick(&mut self, now_us: u64) {
+        while self.recent_setups.front().is_some_and(|(at_us, _)| at_us + SETUP_TIME_WINDOW_US < now_us) {
+            self.recent_setups.pop_front();
         }
-        self.look_for_stall(now);
-        self.look_for_slowness(now);
+        self.detect_stall(now_us);
+        self.detect_slowness(now_us);
     }
 
-    fn look_for_stall(&mut self, now: u64) {
-        let unheard: Vec<u64> = self.out.values().copied().filter(|sent| *sent > self.heard_us).collect();
-        let Some(oldest) = unheard.iter().min().copied() else { return };
-        // A way that is down says why nothing comes.
-        if unheard.len() >= STALL_OUT && oldest + STALL_US <= now && self.down.is_empty() {
-            let evidence = format!("{} set-ups were out there and nothing came back", unheard.len());
-            self.begin(IncidentKind::NodeStalled, oldest, evidence);
+    fn detect_stall(&mut self, now_us: u64) {
+        let unanswered: Vec<u64> =
+            self.open_attempts.values().copied().filter(|sent| *sent > self.last_heard_us).collect();
+        let Some(oldest) = unanswered.iter().min().copied() else { return };
+        // A lost connection would explain the missing replies.
+        if unanswered.len() >= MIN_STALLED_ATTEMPTS
+            && oldest + MIN_STALL_US <= now_us
+            && self.lost_conns.is_empty()
+        {
+            let evidence = format!("{} set-ups were out there and nothing came back", unanswered.len());
+            self.begin_incident(IncidentKind::NodeStalled, oldest, evidence);
         }
     }
 
-    fn look_for_slowness(&mut self, now: u64) {
-        if self.recent.len() < FEWEST || self.is_cold(now) || now < self.backlog_until {
-            // Nothing to go by: what began stays, and nothing begins.
-            self.slow_since = None;
+    fn detect_slowness(&mut self, now_us: u64) {
+        if self.recent_setups.len() < MIN_SETUP_TIMES
+            || self.is_cold(now_us)
+            || now_us < self.backlog_until_us
+        {
+            // Too little evidence to begin or to end an incident.
+            self.slow_since_us = None;
             return;
         }
-        let mut took: Vec<f64> = self.recent.iter().map(|(_, took)| *took).collect();
-        took.sort_by(f64::total_cmp);
-        let quicker = took[(took.len() as f64 * QUICKER) as usize];
-        if now >= self.usual_at + LEARN_EVERY_US && self.open.is_none() && self.slow_since.is_none() {
-            self.usual_at = now;
-            self.learnt += 1;
-            let part = (1.0 / f64::from(self.learnt)).max(USUAL_PART);
-            self.usual_us += (quicker - self.usual_us) * part;
+        let mut setup_times: Vec<f64> = self.recent_setups.iter().map(|(_, setup_us)| *setup_us).collect();
+        setup_times.sort_by(f64::total_cmp);
+        let quantile_us = setup_times[(setup_times.len() as f64 * SETUP_TIME_QUANTILE) as usize];
+        if now_us >= self.baseline_updated_us + BASELINE_INTERVAL_US
+            && self.current.is_none()
+            && self.slow_since_us.is_none()
+        {
+            self.baseline_updated_us = now_us;
+            self.baseline_updates += 1;
+            let weight = (1.0 / f64::from(self.baseline_updates)).max(MIN_BASELINE_WEIGHT);
+            self.baseline_us += (quantile_us - self.baseline_us) * weight;
         }
-        if self.learnt < LEARN {
+        if self.baseline_updates < MIN_BASELINE_UPDATES {
             return;
         }
-        let slow = quicker > SLOW_TIMES * self.usual_us && quicker > self.usual_us + SLOW_MORE_US;
-        let fast = quicker < FAST_TIMES * self.usual_us || quicker < self.usual_us + SLOW_MORE_US / 2.0;
+        let slow = quantile_us > SLOW_FACTOR * self.baseline_us
+            && quantile_us > self.baseline_us + MIN_SLOW_EXCESS_US;
+        let recovered = quantile_us < RECOVERED_FACTOR * self.baseline_us
+            || quantile_us < self.baseline_us + MIN_SLOW_EXCESS_US / 2.0;
         if slow {
-            self.fast_since = None;
-            let since = *self.slow_since.get_or_insert(now);
-            if self.open.is_none() && now >= since + SLOW_FOR_US {
-                let begin = self.recent.iter().find(|(_, took)| *took > SLOW_TIMES * self.usual_us);
-                let begin = begin.map_or(since, |(at, _)| (*at).min(since));
-                let (took, usual) = (quicker / 1e3, self.usual_us / 1e3);
+            self.recovered_since_us = None;
+            let since = *self.slow_since_us.get_or_insert(now_us);
+            if self.current.is_none() && now_us >= since + MIN_SLOW_DURATION_US {
+                let begin = self
+                    .recent_setups
+                    .iter()
+                    .find(|(_, setup_us)| *setup_us > SLOW_FACTOR * self.baseline_us);
+                let begin = begin.map_or(since, |(at_us, _)| (*at_us).min(since));
+                let (took, usual) = (quantile_us / 1e3, self.baseline_us / 1e3);
                 let evidence = format!("its quicker answers took {took:.0} ms in place of {usual:.0} ms");
-                self.begin(IncidentKind::NodeSlow, begin, evidence);
-                self.slow_since = Some(since);
+                self.begin_incident(IncidentKind::NodeSlow, begin, evidence);
+                self.slow_since_us = Some(since);
             }
         } else {
-            self.slow_since = None;
-            if fast && self.is(IncidentKind::NodeSlow) {
-                let since = *self.fast_since.get_or_insert(now);
-                if now >= since + SLOW_FOR_US {
-                    self.end(since);
+            self.slow_since_us = None;
+            if recovered && self.is_current(IncidentKind::NodeSlow) {
+                let since = *self.recovered_since_us.get_or_insert(now_us);
+                if now_us >= since + MIN_SLOW_DURATION_US {
+                    self.end_incident(since);
                 }
             } else {
-                self.fast_since = None;
+                self.recovered_since_us = None;
             }
         }
     }
 
     pub(super) fn finish(mut self) -> Vec<Incident> {
-        self.over.extend(self.open.take());
-        self.over
+        self.past.extend(self.current.take());
+        self.past
     }
 }
--- a/crates/report/src/incident/refusals.rs
+++ b/crates/report/src/incident/refusals.rs
@@ -1,8 +1,9 @@
-//! How the calls to each node fare: when circuits toward it run out, and when softswitches shed calls to it, apart from
-//! what its own troubles explain.
+//! Detects when circuits toward a node run out, and when softswitches shed calls to it for a reason other than an
+//! incident of the node itself.
 //!
-//! One window of recent outcomes for each destination, and a state machine for each of the two troubles with a level to
-//! enter, a lower one to leave, and a time that either must last: load that hovers round a level is one incident.
+//! Each destination has a window of recent call outcomes. For each of the two kinds of incident a state machine with
+//! hysteresis watches the fraction of refused calls: it has a threshold to begin, a lower one to end, and a time for which
+//! either must hold, so that load that varies around a threshold is one incident.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,34 +11,36 @@
 
 use super::{AffectedCalls, Incident, IncidentKind};
 
-/// Outcomes of this time count; fewer than so many say nothing.
-const RECENT_US: u64 = 5_000_000;
-const FEWEST: usize = 8;
-/// Part of the calls that must be turned away to begin an incident, and under which it ends.
-const ENTER: f64 = 0.25;
-const LEAVE: f64 = 0.08;
-/// How long it must last so, either way.
-const FOR_US: u64 = 2_000_000;
-/// Trouble that comes back this soon after its end is the same incident.
-const SAME_US: u64 = 15_000_000;
+/// Window of the recent outcomes.
+const OUTCOME_WINDOW_US: u64 = 5_000_000;
+/// Minimum number of outcomes in the window; fewer prove nothing.
+const MIN_OUTCOMES: usize = 8;
+/// Fraction of refused calls at which an incident begins.
+const BEGIN_FRACTION: f64 = 0.25;
+/// Fraction of refused calls below which it ends.
+const END_FRACTION: f64 = 0.08;
+/// Time for which the fraction must stay beyond a threshold for an incident to begin or to end.
+const MIN_DURATION_US: u64 = 2_000_000;
+/// An incident that recurs this soon after its end is continued, not counted as a new one.
+const MAX_FLAP_GAP_US: u64 = 15_000_000;
 
-/// What became of a call to a node.
+/// Outcome of a call to a node, as far as it shows load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Fared {
-    /// It stood.
+pub(super) enum CallOutcome {
+    /// It was established.
     Served,
-    /// No circuit was free on any way that was tried.
+    /// No circuit was free on any route that was tried.
     NoCircuit,
-    /// It was kept from the node, or the node's processor turned it away.
+    /// A softswitch shed it, or the processor of the node was full.
     Shed,
-    /// Anything else: it says nothing of load.
+    /// Any other outcome; it shows nothing about load.
     Other,
 }
 
-impl Fared {
-    /// What a refusal says of load.
-    pub(super) fn refused(why: RefusalReason) -> Self {
-        match why {
+impl CallOutcome {
+    /// Outcome for a refused call.
+    pub(super) fn of_refusal(reason: RefusalReason) -> Self {
+        match reason {
             RefusalReason::NoCircuit
             | RefusalReason::AfterAttempt(_, AttemptReason::NoCircuit | AttemptReason::CrankBack) => {
                 Self::NoCircuit
@@ -47,7 +50,7 @@
                 _,
                 AttemptReason::ProcessorFull(_) | AttemptReason::DestinationFull,
             ) => Self::Shed,
-            // Without a word on why, an attempt that found no room was one too many for the group.
+            // Congestion without a reason means that the circuit group was full.
             RefusalReason::AfterAttempt(AttemptOutcome::Congested, AttemptReason::Unspecified) => {
                 Self::NoCircuit
             }
@@ -58,141 +61,145 @@
     }
 }
 
-/// One trouble of one destination.
+/// State of one kind of incident for one destination.
 #[derive(Debug, Default)]
-struct Trouble {
-    open: Option<Incident>,
-    /// Since when the level to enter is passed, or since when that to leave is not reached.
-    enters: Option<u64>,
-    leaves: Option<u64>,
+struct IncidentState {
+    current: Option<Incident>,
+    /// Since when the fraction has been at or above the threshold to begin.
+    above_begin_since_us: Option<u64>,
+    /// Since when the fraction has been below the threshold to end.
+    below_end_since_us: Option<u64>,
 }
 
 #[derive(Debug, Default)]
-struct Destination {
-    recent: VecDeque<(u64, Fared)>,
-    blocked: Trouble,
-    shed: Trouble,
+struct DestinationState {
+    recent: VecDeque<(u64, CallOutcome)>,
+    no_free_circuits: IncidentState,
+    calls_shed: IncidentState,
 }
 
-/// How calls to all nodes fare.
+/// Detects incidents from the outcomes of the calls to all nodes.
 #[derive(Debug, Default)]
-pub(super) struct ServiceWatch {
-    destinations: BTreeMap<u32, Destination>,
-    over: Vec<Incident>,
+pub(super) struct RefusalDetector {
+    destinations: BTreeMap<u32, DestinationState>,
+    past: Vec<Incident>,
 }
 
-impl ServiceWatch {
-    /// A call to this node has had its outcome.
-    pub(super) fn fared(&mut self, at: u64, dest: u32, how: Fared) {
-        self.destinations.entry(dest).or_default().recent.push_back((at, how));
+impl RefusalDetector {
+    /// Adds the outcome of a call to this node.
+    pub(super) fn call_ended(&mut self, at_us: u64, dest: u32, outcome: CallOutcome) {
+        self.destinations.entry(dest).or_default().recent.push_back((at_us, outcome));
     }
 
-    /// Looks at all destinations. `explained` says which nodes have a trouble of their own that explains refusals.
-    pub(super) fn tick(&mut self, now: u64, explained: impl Fn(u32) -> bool) {
-        for (dest, held) in &mut self.destinations {
-            while held.recent.front().is_some_and(|(at, _)| at + RECENT_US < now) {
-                held.recent.pop_front();
+    /// Updates the incidents of all destinations. `is_explained` tells for a node whether its own state explains refusals.
+    pub(super) fn tick(&mut self, now_us: u64, is_explained: impl Fn(u32) -> bool) {
+        for (dest, destination) in &mut self.destinations {
+            while destination.recent.front().is_some_and(|(at_us, _)| at_us + OUTCOME_WINDOW_US < now_us) {
+                destination.recent.pop_front();
             }
-            let all = held.recent.len();
-            let part = |how: Fared| {
-                let those = held.recent.iter().filter(|(_, fared)| *fared == how).count();
-                if all >= FEWEST { Some(those as f64 / all as f64) } else { None }
+            let total = destination.recent.len();
+            let fraction = |wanted: CallOutcome| {
+                let count = destination.recent.iter().filter(|(_, outcome)| *outcome == wanted).count();
+                if total >= MIN_OUTCOMES { Some(count as f64 / total as f64) } else { None }
             };
-            let (no_circuit, shed) = (part(Fared::NoCircuit), part(Fared::Shed));
-            let explained = explained(*dest);
-            let begin = held.recent.front().map_or(now, |(at, _)| *at);
-            for (trouble, kind, part) in [
-                (&mut held.blocked, IncidentKind::NoFreeCircuits, no_circuit),
-                (&mut held.shed, IncidentKind::CallsShed, shed),
+            let (no_circuit, shed) = (fraction(CallOutcome::NoCircuit), fraction(CallOutcome::Shed));
+            let is_explained = is_explained(*dest);
+            let begin_us = destination.recent.front().map_or(now_us, |(at_us, _)| *at_us);
+            for (state, kind, fraction) in [
+                (&mut destination.no_free_circuits, IncidentKind::NoFreeCircuits, no_circuit),
+                (&mut destination.calls_shed, IncidentKind::CallsShed, shed),
             ] {
-                // Few calls at night end a trouble as well: nobody is turned away.
-                let part = part.unwrap_or(0.0);
-                if let Some(ended) = trouble.step(now, begin, *dest, kind, part, explained) {
-                    keep(&mut self.over, ended);
+                // Too few calls, as at night, count as no refusals, so that they end an incident.
+                let fraction = fraction.unwrap_or(0.0);
+                if let Some(incident) = state.update(now_us, begin_us, *dest, kind, fraction, is_explained) {
+                    add_or_extend(&mut self.past, incident);
                 }
             }
         }
     }
 
-    /// All that is known so far.
+    /// All incidents so far, the current ones included.
     pub(super) fn incidents(&self) -> impl Iterator<Item = &Incident> {
-        let open =
-            self.destinations.values().flat_map(|held| held.blocked.open.iter().chain(&held.shed.open));
-        self.over.iter().chain(open)
+        let current = self.destinations.values().flat_map(|destination| {
+            destination.no_free_circuits.current.iter().chain(&destination.calls_shed.current)
+        });
+        self.past.iter().chain(current)
     }
 
     pub(super) fn finish(mut self) -> Vec<Incident> {
-        for held in std::mem::take(&mut self.destinations).into_values() {
-            for open in held.blocked.open.into_iter().chain(held.shed.open) {
-                keep(&mut self.over, open);
+        for destination in std::mem::take(&mut self.destinations).into_values() {
+            for current in
+                destination.no_free_circuits.current.into_iter().chain(destination.calls_shed.current)
+            {
+                add_or_extend(&mut self.past, current);
             }
         }
-        self.over
+        self.past
     }
 }
 
-/// Adds an incident, or goes on with the one before it of the same kind that had only just ended.
-fn keep(over: &mut Vec<Incident>, incident: Incident) {
-    let same = |known: &&mut Incident| {
-        let ended = known.end_us.is_some_and(|end| incident.begin_us < end + SAME_US);
-        (known.kind, known.exchange) == (incident.kind, incident.exchange) && ended
+/// Adds an incident, or extends the last one of the same kind and node if that had only just ended.
+fn add_or_extend(past: &mut Vec<Incident>, incident: Incident) {
+    let continues = |earlier: &&mut Incident| {
+        let ended_recently = earlier.end_us.is_some_and(|end| incident.begin_us < end + MAX_FLAP_GAP_US);
+        (earlier.kind, earlier.exchange) == (incident.kind, incident.exchange) && ended_recently
     };
-    match over.iter_mut().rev().find(same) {
-        Some(known) => {
-            known.end_us = incident.end_us;
-            known.flaps += 1;
+    match past.iter_mut().rev().find(continues) {
+        Some(earlier) => {
+            earlier.end_us = incident.end_us;
+            earlier.flaps += 1;
         }
-        None => over.push(incident),
+        None => past.push(incident),
     }
 }
 
-impl Trouble {
-    /// One look: the part of the calls that are turned away now. Returns an incident that has ended.
-    fn step(
+impl IncidentState {
+    /// Updates the state with the fraction of the calls that are refused now. Returns an incident that has ended.
+    fn update(
         &mut self,
-        now: u64,
+        now_us: u64,
         begin_us: u64,
         dest: u32,
         kind: IncidentKind,
-        part: f64,
-        explained: bool,
+        fraction: f64,
+        is_explained: bool,
     ) -> Option<Incident> {
-        if self.open.is_none() {
-            if part < ENTER || explained {
-                self.enters = None;
+        if self.current.is_none() {
+            if fraction < BEGIN_FRACTION || is_explained {
+                self.above_begin_since_us = None;
                 return None;
             }
-            let since = *self.enters.get_or_insert(now);
-            if now >= since + FOR_US {
+            let since_us = *self.above_begin_since_us.get_or_insert(now_us);
+            if now_us >= since_us + MIN_DURATION_US {
                 let what =
                     if kind == IncidentKind::NoFreeCircuits { "found no circuit free" } else { "were shed" };
-                self.open = Some(Incident {
+                self.current = Some(Incident {
                     kind,
                     exchange: Some(dest),
                     softswitch: None,
-                    // The window that passed the level began before it did.
-                    begin_us: begin_us.min(since),
+                    // The refusals in the window began before their fraction reached the threshold.
+                    begin_us: begin_us.min(since_us),
                     end_us: None,
-                    evidence: format!("{:.0}% of the calls to it {what}", 100.0 * part),
+                    evidence: format!("{:.0}% of the calls to it {what}", 100.0 * fraction),
                     flaps: 0,
                     affected_calls: AffectedCalls::default(),
                     triggered_by: None,
                 });
-                (self.enters, self.leaves) = (None, None);
+                (self.above_begin_since_us, self.below_end_since_us) = (None, None);
             }
             return None;
         }
-        if part >= LEAVE {
-            self.leaves = None;
+        if fraction >= END_FRACTION {
+            self.below_end_since_us = None;
             return None;
         }
-        let since = *self.leaves.get_or_insert(now);
-        if now < since + FOR_US {
+        let since_us = *self.below_end_since_us.get_or_insert(now_us);
+        if now_us < since_us + MIN_DURATION_US {
             return None;
         }
-        self.leaves = None;
-        let mut ended = self.open.take()?;
-        ended.end_us = Some(since);
-        Some(ended)
+        self.below_end_since_us = None;
+        let mut incident = self.current.take()?;
+        incident.end_us = Some(since_us);
+        Some(incident)
     }
 }
--- a/crates/report/tests/detector.rs
+++ b/crates/report/tests/detector.rs
@@ -2,7 +2,7 @@
 
 use swiftlb_record::merge::{EntryContent, TimelineEntry};
 use swiftlb_record::{CallUid, ConnectionChange, Event, Front, ListedReadiness, RefusalReason};
-use swiftlb_report::incident::episode::{group, link};
+use swiftlb_report::incident::episode::{find_triggers, group_into_episodes};
 use swiftlb_report::incident::{AffectedCalls, Analysis, Detector, Incident, IncidentKind};
 
 const START: u64 = 1_800_000_000_000_000;
@@ -176,11 +176,11 @@
         incident(IncidentKind::NodeSlow, 1, 201, Some(202)),
         incident(IncidentKind::NoFreeCircuits, 0, 300, Some(301)),
     ];
-    link(&mut incidents);
+    find_triggers(&mut incidents);
     let follows: Vec<Option<usize>> = incidents.iter().map(|incident| incident.triggered_by).collect();
     // A node that is slow for its own death is no consequence elsewhere; its own slowness explains its own shedding.
     assert_eq!(follows, [None, None, Some(0), Some(0), Some(3), None, None, None, Some(6)]);
-    let episodes = group(&incidents);
+    let episodes = group_into_episodes(&incidents);
     let places: Vec<Vec<usize>> = episodes.iter().map(|episode| episode.incidents.clone()).collect();
     assert_eq!(places, [vec![0, 1, 2, 3, 4], vec![5], vec![6, 7, 8]]);
     assert_eq!((episodes[0].end_us, episodes[2].end_us), (Some(START + 31_000_000), None));
