--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -1,8 +1,8 @@
-//! The incident report: what the records of several softswitches say of an incident's course.
+//! The incident report, made from the records of several softswitches.
 //!
-//! [`Report::build`] reads an archive once by streaming and keeps only what a page shows: the course told by
-//! [`incident`], figures by class, and series whose buckets grow with the time that is told. [`page::html`] makes one
-//! self-contained page of it, [`Report::events`] the timeline as JSON lines.
+//! [`Report::build`] streams an archive once and keeps only what the page shows: the incidents found by [`incident`],
+//! statistics by class, and time series whose buckets grow with the time range. [`page::html`] renders the report as one
+//! self-contained page, [`Report::events_jsonl`] its timeline as JSON lines.
 
 mod charts;
 pub mod incident;
@@ -20,83 +20,83 @@
 use incident::{Analysis, Detector};
 pub use series::{ClassBucket, NodeBucket, Series};
 
-/// Longest set-up time that is told apart, in microseconds.
-const LONGEST_US: u64 = 60_000_000;
+/// Longest set-up time that the histograms distinguish, in microseconds.
+const MAX_SETUP_TIME_US: u64 = 60_000_000;
 
-/// Figures of one class over the whole time.
+/// Statistics of one class over the whole time range.
 #[derive(Clone, Debug)]
-pub struct ClassFigures {
-    /// Its name.
+pub struct ClassStats {
+    /// Name of the class.
     pub name: String,
-    /// Calls of its own callers that came, those in transit left out.
+    /// Calls from the callers of the softswitches; those in transit don't count again.
     pub offered: u64,
-    /// Stood.
+    /// Calls that were established.
     pub answered: u64,
-    /// Turned away.
+    /// Calls that were refused.
     pub refused: u64,
-    /// Given up by the softswitch.
+    /// Calls that failed.
     pub failed: u64,
-    /// Given up by the caller.
-    pub given_up: u64,
-    /// Cut before their end.
+    /// Calls that their callers abandoned.
+    pub abandoned: u64,
+    /// Established calls that were cut.
     pub cut: u64,
-    /// Set-up times in microseconds, to three digits.
-    pub took: Histogram<u64>,
+    /// Set-up times in microseconds, to three significant digits.
+    pub setup_times: Histogram<u64>,
 }
 
-/// How sure the common time is, for one softswitch.
+/// Clock offset of one softswitch and its uncertainty.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ClockFigures {
-    /// Its name.
+pub struct SoftswitchClock {
+    /// Name of the softswitch.
     pub softswitch: String,
-    /// Ahead of the reference by so many microseconds in the middle of the time told.
+    /// How far its clock is ahead of the reference in the middle of the time range, in microseconds; `None` if unknown.
     pub ahead_us: Option<i64>,
-    /// Give or take so many, at the worst.
-    pub uncertain_us: Option<i64>,
+    /// Largest uncertainty of that offset over the time range, in microseconds; `None` if unknown.
+    pub uncertainty_us: Option<i64>,
 }
 
-/// Everything that a page shows.
+/// Contents of the page.
 #[derive(Debug)]
 pub struct Report {
-    /// Names of the softswitches.
+    /// Names of the softswitches; other fields refer to them by index.
     pub softswitches: Vec<String>,
-    /// Their clocks, and which of them the times are those of.
-    pub clocks: Vec<ClockFigures>,
-    /// Name of the reference.
+    /// Clock of each softswitch.
+    pub clocks: Vec<SoftswitchClock>,
+    /// Name of the softswitch whose clock is the reference for all times, if there is one.
     pub reference: Option<String>,
-    /// Bounds that contradicted others: a clock that was set.
+    /// Number of bounds on clock offsets that contradict others, as when a clock was set.
     pub contradictions: u64,
-    /// First and last time told, corrected Unix microseconds.
+    /// Time of the first and of the last event, in corrected Unix microseconds.
     pub time_range_us: (u64, u64),
-    /// Records told.
+    /// Number of recorded events in the time range.
     pub record_count: u64,
-    /// Figures by class.
-    pub classes: Vec<ClassFigures>,
-    /// Attempts that ended without an answer, by how and why.
+    /// Statistics by class.
+    pub classes: Vec<ClassStats>,
+    /// Number of attempts that ended without an answer, by outcome and reason.
     pub attempt_ends: BTreeMap<(AttemptOutcome, &'static str), u64>,
-    /// Attempts made.
+    /// Number of attempts.
     pub attempts: u64,
-    /// Refusals and failures by reason.
+    /// Number of refused and failed calls, by reason.
     pub refusals: BTreeMap<String, u64>,
-    /// Calls and nodes over time.
+    /// Calls and nodes over time, for the charts.
     pub series: Series,
-    /// What happened.
+    /// Incidents, episodes and events.
     pub analysis: Analysis,
-    /// Files that could not be used, with the reason.
+    /// Record files that could not be used, with the reason.
     pub file_errors: Vec<String>,
 }
 
-/// What is known of open calls while the records are read: their class, and whether they are a caller's own.
+/// Calls in progress, with the index of their class and whether they come from a caller, not in transit.
 #[derive(Debug, Default)]
-struct Calls {
+struct OpenCalls {
     open: BTreeMap<(usize, u64), (usize, bool)>,
-    /// Those that stand, for their cuts.
-    standing: BTreeMap<(usize, u64), (usize, bool)>,
+    /// Established calls, kept to count those that are cut.
+    established: BTreeMap<(usize, u64), (usize, bool)>,
 }
 
-/// A cause as one word.
-fn cause(cause: AttemptReason) -> &'static str {
-    match cause {
+/// Reason of a failed attempt, as text on the page.
+fn reason_text(reason: AttemptReason) -> &'static str {
+    match reason {
         AttemptReason::Unspecified => "nothing said",
         AttemptReason::NoCircuit => "group full",
         AttemptReason::CrankBack => "turned back",
@@ -106,8 +106,8 @@
     }
 }
 
-/// The end of an attempt in words.
-pub(crate) fn outcome(outcome: AttemptOutcome) -> &'static str {
+/// Outcome of an attempt, as text on the page.
+pub(crate) fn outcome_text(outcome: AttemptOutcome) -> &'static str {
     match outcome {
         AttemptOutcome::Busy => "busy",
         AttemptOutcome::Congested => "no room",
@@ -120,43 +120,47 @@
     }
 }
 
-fn after(how: AttemptOutcome, why: AttemptReason) -> String {
-    match why {
-        AttemptReason::Unspecified => format!("after an attempt: {}", outcome(how)),
-        why => format!("after an attempt: {}", cause(why)),
+fn after_attempt_text(outcome: AttemptOutcome, reason: AttemptReason) -> String {
+    match reason {
+        AttemptReason::Unspecified => format!("after an attempt: {}", outcome_text(outcome)),
+        reason => format!("after an attempt: {}", reason_text(reason)),
     }
 }
 
-fn refused(why: RefusalReason) -> String {
-    match why {
+fn refusal_text(reason: RefusalReason) -> String {
+    match reason {
         RefusalReason::NoCircuit => "refused: no circuit free".to_owned(),
         RefusalReason::Shed => "refused: shed before any attempt".to_owned(),
         RefusalReason::TooManySetUps => "refused: too many open".to_owned(),
         RefusalReason::Draining => "refused: being emptied".to_owned(),
-        RefusalReason::AfterAttempt(how, why) => format!("refused {}", after(how, why)),
+        RefusalReason::AfterAttempt(outcome, reason) => {
+            format!("refused {}", after_attempt_text(outcome, reason))
+        }
     }
 }
 
-fn failed(why: FailureReason) -> String {
-    match why {
+fn failure_text(reason: FailureReason) -> String {
+    match reason {
         FailureReason::Busy => "failed: lines busy".to_owned(),
         FailureReason::NoRoute => "failed before any attempt".to_owned(),
-        FailureReason::AfterAttempt(how, why) => format!("failed {}", after(how, why)),
+        FailureReason::AfterAttempt(outcome, reason) => {
+            format!("failed {}", after_attempt_text(outcome, reason))
+        }
         FailureReason::DecisionOverdue => "failed: no decision in time".to_owned(),
         FailureReason::CallerStreamCorrupt => "failed: its connection was unreadable".to_owned(),
     }
 }
 
 impl Report {
-    /// Reads an archive, the records between these times alone (Unix microseconds by each softswitch's own clock, both
-    /// included). `progress` is told now and then how many records were read.
+    /// Builds a report from the records of an archive between two times, both inclusive, in Unix microseconds by each
+    /// softswitch's own clock. `progress` is called from time to time with the number of records read.
     pub fn build(archive: &Archive, window_us: (u64, u64), mut progress: impl FnMut(u64)) -> Self {
         let mut merge = Merge::open(archive, window_us);
         let names = merge.softswitches().to_vec();
         let mut detector = Detector::new(merge.home_exchanges());
         let mut report = Self {
             clocks: Vec::new(),
-            reference: merge.clock_offsets().reference().map(|place| names[place].clone()),
+            reference: merge.clock_offsets().reference().map(|index| names[index].clone()),
             contradictions: merge.clock_offsets().contradictions,
             time_range_us: (u64::MAX, 0),
             record_count: 0,
@@ -169,133 +173,149 @@
             file_errors: archive.file_errors.iter().map(ToString::to_string).collect(),
             softswitches: names,
         };
-        let mut calls = Calls::default();
-        // Places of classes by softswitch: each has an order of its own.
-        let mut places: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
-        for told in merge.by_ref() {
-            detector.observe(&told);
-            report.see(&told, &mut calls, &mut places);
+        let mut open_calls = OpenCalls::default();
+        // Indices in `report.classes` by softswitch: each softswitch numbers its classes in its own order.
+        let mut class_indices: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
+        for entry in merge.by_ref() {
+            detector.observe(&entry);
+            report.observe(&entry, &mut open_calls, &mut class_indices);
             if report.record_count.is_multiple_of(65_536) {
                 progress(report.record_count);
             }
         }
         report.analysis = detector.finish();
         report.file_errors.extend(merge.file_errors().iter().map(ToString::to_string));
-        let middle = report.time_range_us.0.midpoint(report.time_range_us.1);
+        let middle_us = report.time_range_us.0.midpoint(report.time_range_us.1);
         report.clocks = (0..report.softswitches.len())
-            .map(|i| ClockFigures {
+            .map(|i| SoftswitchClock {
                 softswitch: report.softswitches[i].clone(),
-                ahead_us: merge.clock_offsets().offset(i, middle).map(|offset| offset.ahead_us),
-                uncertain_us: merge.clock_offsets().most_uncertain(i).map(|offset| offset.uncertainty_us),
+                ahead_us: merge.clock_offsets().offset(i, middle_us).map(|offset| offset.ahead_us),
+                uncertainty_us: merge.clock_offsets().most_uncertain(i).map(|offset| offset.uncertainty_us),
             })
             .collect();
         report
     }
 
-    fn class(&mut self, name: &str) -> usize {
-        if let Some(place) = self.classes.iter().position(|class| class.name == name) {
-            return place;
+    fn index_of_class(&mut self, name: &str) -> usize {
+        if let Some(class_index) = self.classes.iter().position(|class| class.name == name) {
+            return class_index;
         }
-        // Bounds and digits are constants that make sense.
-        let took = Histogram::new_with_bounds(1, LONGEST_US, 3)
+        // Cannot fail: the bounds and the number of digits are valid constants.
+        let setup_times = Histogram::new_with_bounds(1, MAX_SETUP_TIME_US, 3)
             .unwrap_or_else(|_| Histogram::new(1).expect("a digit"));
         let name = name.to_owned();
-        let (offered, answered, refused, failed, given_up, cut) = (0, 0, 0, 0, 0, 0);
-        self.classes.push(ClassFigures { name, offered, answered, refused, failed, given_up, cut, took });
+        let (offered, answered, refused, failed, abandoned, cut) = (0, 0, 0, 0, 0, 0);
+        self.classes.push(ClassStats {
+            name,
+            offered,
+            answered,
+            refused,
+            failed,
+            abandoned,
+            cut,
+            setup_times,
+        });
         self.classes.len() - 1
     }
 
-    fn see(&mut self, told: &TimelineEntry, calls: &mut Calls, places: &mut BTreeMap<usize, Vec<usize>>) {
-        let (at, who) = (told.at_us, told.softswitch);
-        let event = match &told.content {
+    fn observe(
+        &mut self,
+        entry: &TimelineEntry,
+        open_calls: &mut OpenCalls,
+        class_indices: &mut BTreeMap<usize, Vec<usize>>,
+    ) {
+        let (at_us, softswitch) = (entry.at_us, entry.softswitch);
+        let event = match &entry.content {
             EntryContent::Event(event) => {
                 self.record_count += 1;
-                self.time_range_us = (self.time_range_us.0.min(at), self.time_range_us.1.max(at));
+                self.time_range_us = (self.time_range_us.0.min(at_us), self.time_range_us.1.max(at_us));
                 event
             }
             EntryContent::Context(event) => event,
             EntryContent::Gap(_) | EntryContent::RunEnded { .. } => return,
         };
         if let Event::Classes(names) = event {
-            let known = names.iter().map(|name| self.class(name)).collect();
-            places.insert(who, known);
+            let indices = names.iter().map(|name| self.index_of_class(name)).collect();
+            class_indices.insert(softswitch, indices);
             return;
         }
-        self.series.see(at, who, event);
-        let key = event.call().map(|call| (who, call.0));
-        match (event, key) {
-            (Event::SetUp { class, transit_from, .. }, Some(key)) => {
-                let place = places.get(&who).and_then(|known| known.get(usize::from(*class)).copied());
-                let place = place.unwrap_or_else(|| self.class("unknown"));
-                let own = transit_from.is_none();
-                calls.open.insert(key, (place, own));
-                self.classes[place].offered += u64::from(own);
-                self.series.class(at, place, own, |bucket| &mut bucket.offered);
+        self.series.observe(at_us, softswitch, event);
+        let call_key = event.call().map(|call| (softswitch, call.0));
+        match (event, call_key) {
+            (Event::SetUp { class, transit_from, .. }, Some(call_key)) => {
+                let class_index = class_indices
+                    .get(&softswitch)
+                    .and_then(|indices| indices.get(usize::from(*class)).copied());
+                let class_index = class_index.unwrap_or_else(|| self.index_of_class("unknown"));
+                let is_origin = transit_from.is_none();
+                open_calls.open.insert(call_key, (class_index, is_origin));
+                self.classes[class_index].offered += u64::from(is_origin);
+                self.series.count_call(at_us, class_index, is_origin, |bucket| &mut bucket.offered);
             }
             (Event::Attempt { .. }, _) => self.attempts += 1,
-            (Event::AttemptEnded { outcome, reason: why, .. }, _) => {
-                *self.attempt_ends.entry((*outcome, cause(*why))).or_default() += 1;
+            (Event::AttemptEnded { outcome, reason: attempt_reason, .. }, _) => {
+                *self.attempt_ends.entry((*outcome, reason_text(*attempt_reason))).or_default() += 1;
             }
-            (Event::Answered { elapsed_us, .. }, Some(key)) => {
-                if let Some((place, own)) = calls.open.remove(&key) {
-                    calls.standing.insert(key, (place, own));
-                    let class = &mut self.classes[place];
-                    if own {
+            (Event::Answered { elapsed_us, .. }, Some(call_key)) => {
+                if let Some((class_index, is_origin)) = open_calls.open.remove(&call_key) {
+                    open_calls.established.insert(call_key, (class_index, is_origin));
+                    let class = &mut self.classes[class_index];
+                    if is_origin {
                         class.answered += 1;
-                        class.took.saturating_record((*elapsed_us).max(1));
+                        class.setup_times.saturating_record((*elapsed_us).max(1));
                     }
-                    self.series.class(at, place, own, |bucket| &mut bucket.answered);
+                    self.series.count_call(at_us, class_index, is_origin, |bucket| &mut bucket.answered);
                 }
             }
-            (Event::Refused { reason, .. }, Some(key)) => {
-                *self.refusals.entry(refused(*reason)).or_default() += 1;
-                if let Some((place, own)) = calls.open.remove(&key) {
-                    self.classes[place].refused += u64::from(own);
-                    self.series.class(at, place, own, |bucket| &mut bucket.refused);
+            (Event::Refused { reason, .. }, Some(call_key)) => {
+                *self.refusals.entry(refusal_text(*reason)).or_default() += 1;
+                if let Some((class_index, is_origin)) = open_calls.open.remove(&call_key) {
+                    self.classes[class_index].refused += u64::from(is_origin);
+                    self.series.count_call(at_us, class_index, is_origin, |bucket| &mut bucket.refused);
                 }
             }
-            (Event::Failed { reason, .. }, Some(key)) => {
-                *self.refusals.entry(failed(*reason)).or_default() += 1;
-                if let Some((place, own)) = calls.open.remove(&key) {
-                    self.classes[place].failed += u64::from(own);
-                    self.series.class(at, place, own, |bucket| &mut bucket.failed);
+            (Event::Failed { reason, .. }, Some(call_key)) => {
+                *self.refusals.entry(failure_text(*reason)).or_default() += 1;
+                if let Some((class_index, is_origin)) = open_calls.open.remove(&call_key) {
+                    self.classes[class_index].failed += u64::from(is_origin);
+                    self.series.count_call(at_us, class_index, is_origin, |bucket| &mut bucket.failed);
                 }
             }
-            (Event::Abandoned { .. }, Some(key)) => {
-                if let Some((place, own)) = calls.open.remove(&key) {
-                    self.classes[place].given_up += u64::from(own);
-                    self.series.class(at, place, own, |bucket| &mut bucket.failed);
+            (Event::Abandoned { .. }, Some(call_key)) => {
+                if let Some((class_index, is_origin)) = open_calls.open.remove(&call_key) {
+                    self.classes[class_index].abandoned += u64::from(is_origin);
+                    self.series.count_call(at_us, class_index, is_origin, |bucket| &mut bucket.failed);
                 }
             }
-            (Event::Released { cut, .. }, Some(key)) => {
-                if let Some((place, own)) = calls.standing.remove(&key) {
-                    self.classes[place].cut += u64::from(own && *cut);
+            (Event::Released { cut, .. }, Some(call_key)) => {
+                if let Some((class_index, is_origin)) = open_calls.established.remove(&call_key) {
+                    self.classes[class_index].cut += u64::from(is_origin && *cut);
                 }
             }
-            // What was open in a process that is gone is open no more.
+            // Calls of the process that ran before have no further events.
             (Event::Started { .. }, _) => {
-                calls.open.retain(|(softswitch, _), _| *softswitch != who);
-                calls.standing.retain(|(softswitch, _), _| *softswitch != who);
+                open_calls.open.retain(|(index, _), _| *index != softswitch);
+                open_calls.established.retain(|(index, _), _| *index != softswitch);
             }
             _ => {}
         }
     }
 
-    /// The timeline as JSON lines: `at_us` (corrected), `softswitch` and `exchange` where there are such, `kind`,
-    /// `detail`.
+    /// The timeline as JSON lines with the fields `at_us` (corrected), `softswitch` and `exchange` where there is one,
+    /// `kind` and `detail`.
     pub fn events_jsonl(&self) -> String {
         let quoted = |text: &str| JsonValue::String(text.to_owned()).stringify().unwrap_or_default();
         let mut text = String::new();
-        for line in &self.analysis.events {
-            let _ = write!(text, "{{\"at_us\":{}", line.at_us);
-            if let Some(name) = line.softswitch.and_then(|place| self.softswitches.get(place)) {
+        for event in &self.analysis.events {
+            let _ = write!(text, "{{\"at_us\":{}", event.at_us);
+            if let Some(name) = event.softswitch.and_then(|index| self.softswitches.get(index)) {
                 let _ = write!(text, ",\"softswitch\":{}", quoted(name));
             }
-            let _ = write!(text, ",\"kind\":\"{}\"", line.kind);
-            if let Some(exchange) = line.exchange {
+            let _ = write!(text, ",\"kind\":\"{}\"", event.kind);
+            if let Some(exchange) = event.exchange {
                 let _ = write!(text, ",\"exchange\":{exchange}");
             }
-            let _ = writeln!(text, ",\"detail\":{}}}", quoted(&line.detail));
+            let _ = writeln!(text, ",\"detail\":{}}}", quoted(&event.detail));
         }
         text
     }
--- a/crates/report/src/page.rs
+++ b/crates/report/src/page.rs
@@ -1,4 +1,4 @@
-//! One self-contained page: no script, font or picture from elsewhere.
+//! Renders the report as one self-contained HTML page, without external scripts, fonts or images.
 
 use std::time::{Duration, UNIX_EPOCH};
 
@@ -7,7 +7,7 @@
 
 use crate::charts::{Band, Curve, chart, colour};
 use crate::incident::{Incident, IncidentKind};
-use crate::{Report, outcome};
+use crate::{Report, outcome_text};
 
 const STYLE: &str = "
 :root{color-scheme:light}*{box-sizing:border-box}
@@ -23,29 +23,29 @@
 dl div{background:#f4f4f2;padding:.5rem .8rem}dt{color:#555;font-size:.85rem}dd{margin:0;font-size:1.25rem}
 ";
 
-/// A time as people read it, in UTC.
-fn date(at_us: u64) -> DateTime<Utc> {
+/// Converts Unix microseconds to a date and time in UTC, limited to what the type can hold.
+fn utc(at_us: u64) -> DateTime<Utc> {
     DateTime::from(UNIX_EPOCH + Duration::from_micros(at_us.min(1 << 52)))
 }
 
-fn clock(at_us: u64) -> String {
-    date(at_us).format("%H:%M:%S%.3f").to_string()
+fn time_of_day(at_us: u64) -> String {
+    utc(at_us).format("%H:%M:%S%.3f").to_string()
 }
 
-fn seconds(us: u64) -> String {
+fn format_seconds(us: u64) -> String {
     format!("{:.1} s", us as f64 / 1e6)
 }
 
-fn ms(us: u64) -> String {
+fn format_ms(us: u64) -> String {
     format!("{:.0}", us as f64 / 1e3)
 }
 
-fn percent(part: u64, of: u64) -> String {
-    if of == 0 { "-".to_owned() } else { format!("{:.1}%", 100.0 * part as f64 / of as f64) }
+fn format_percent(part: u64, total: u64) -> String {
+    if total == 0 { "-".to_owned() } else { format!("{:.1}%", 100.0 * part as f64 / total as f64) }
 }
 
-/// What an incident is, in words.
-fn title(report: &Report, incident: &Incident) -> String {
+/// Title of an incident on the page.
+fn incident_title(report: &Report, incident: &Incident) -> String {
     let node = incident.exchange.map_or("a node".to_owned(), |exchange| format!("node {exchange}"));
     match incident.kind {
         IncidentKind::NodeDied => format!("{node} died"),
@@ -56,18 +56,18 @@
         IncidentKind::NoFreeCircuits => format!("circuits to {node} ran out"),
         IncidentKind::CallsShed => format!("calls to {node} were shed"),
         IncidentKind::SoftswitchCrashed => {
-            let name = incident.softswitch.and_then(|place| report.softswitches.get(place));
+            let name = incident.softswitch.and_then(|index| report.softswitches.get(index));
             format!("softswitch {} crashed", name.map_or("?", String::as_str))
         }
     }
 }
 
-/// The page.
+/// Renders the page.
 pub fn html(report: &Report) -> String {
     let (first, last) = report.time_range_us;
-    let has_any = last >= first;
-    let lasted = if has_any { last - first } else { 0 };
-    let sum = |of: fn(&crate::ClassFigures) -> u64| report.classes.iter().map(of).sum::<u64>();
+    let has_events = last >= first;
+    let duration_us = if has_events { last - first } else { 0 };
+    let sum = |count: fn(&crate::ClassStats) -> u64| report.classes.iter().map(count).sum::<u64>();
     let (offered, answered) = (sum(|c| c.offered), sum(|c| c.answered));
     let page = html! {
         (DOCTYPE)
@@ -80,46 +80,46 @@
             }
             body {
                 h1 { "Incident report" }
-                @if has_any {
-                    p.note { (date(first).format("%Y-%m-%d %H:%M:%S").to_string()) " to " (clock(last)) " UTC, "
-                        (seconds(lasted)) ", " (report.record_count) " records of " (report.softswitches.len()) " softswitches" }
+                @if has_events {
+                    p.note { (utc(first).format("%Y-%m-%d %H:%M:%S").to_string()) " to " (time_of_day(last)) " UTC, "
+                        (format_seconds(duration_us)) ", " (report.record_count) " records of " (report.softswitches.len()) " softswitches" }
                 }
-                @for trouble in &report.file_errors { p.warn { "Not read: " (trouble) } }
+                @for error in &report.file_errors { p.warn { "Not read: " (error) } }
                 dl {
-                    (figure("episodes", &report.analysis.episodes.len().to_string()))
-                    (figure("incidents", &report.analysis.incidents.len().to_string()))
-                    (figure("calls offered", &offered.to_string()))
-                    (figure("stood", &percent(answered, offered)))
-                    (figure("refused", &percent(sum(|c| c.refused), offered)))
-                    (figure("failed or given up", &percent(sum(|c| c.failed + c.given_up), offered)))
-                    (figure("cut", &sum(|c| c.cut).to_string()))
-                    (figure("attempts", &report.attempts.to_string()))
+                    (key_figure("episodes", &report.analysis.episodes.len().to_string()))
+                    (key_figure("incidents", &report.analysis.incidents.len().to_string()))
+                    (key_figure("calls offered", &offered.to_string()))
+                    (key_figure("stood", &format_percent(answered, offered)))
+                    (key_figure("refused", &format_percent(sum(|c| c.refused), offered)))
+                    (key_figure("failed or given up", &format_percent(sum(|c| c.failed + c.abandoned), offered)))
+                    (key_figure("cut", &sum(|c| c.cut).to_string()))
+                    (key_figure("attempts", &report.attempts.to_string()))
                 }
                 h2 { "Incidents" }
-                (incidents(report))
+                (incidents_table(report))
                 h2 { "Calls by class" }
-                (classes(report))
+                (classes_table(report))
                 h2 { "Calls a second" }
-                (calls(report))
+                (call_charts(report))
                 h2 { "Nodes" }
-                (nodes(report))
+                (node_charts(report))
                 h2 { "Why calls were not served" }
-                (reasons(report))
+                (reason_tables(report))
                 h2 { "Timeline" }
-                (timeline(report))
+                (timeline_table(report))
                 h2 { "Clocks" }
-                (clocks(report))
+                (clocks_table(report))
             }
         }
     };
     page.into_string()
 }
 
-fn figure(name: &str, value: &str) -> Markup {
+fn key_figure(name: &str, value: &str) -> Markup {
     html! { div { dt { (name) } dd { (value) } } }
 }
 
-fn incidents(report: &Report) -> Markup {
+fn incidents_table(report: &Report) -> Markup {
     if report.analysis.incidents.is_empty() {
         return html! { p { "None that the records tell of." } };
     }
@@ -128,14 +128,14 @@
             tr { th { "from" } th { "what" } th.n { "lasted" } th.n { "cut" } th.n { "lost" } th.n { "given up" } th.n { "delayed" } th { "told from" } }
             @for incident in &report.analysis.incidents {
                 tr {
-                    td.t { (clock(incident.begin_us)) }
-                    td { (title(report, incident))
+                    td.t { (time_of_day(incident.begin_us)) }
+                    td { (incident_title(report, incident))
                         @if incident.flaps > 0 { ", and came back " (incident.flaps) " times" }
-                        @if let Some(cause) = incident.triggered_by.and_then(|place| report.analysis.incidents.get(place)) {
-                            br; span.note { "after " (title(report, cause)) }
+                        @if let Some(trigger) = incident.triggered_by.and_then(|index| report.analysis.incidents.get(index)) {
+                            br; span.note { "after " (incident_title(report, trigger)) }
                         } }
                     td.n { @match incident.end_us {
-                        Some(end) => { (seconds(end.saturating_sub(incident.begin_us))) }
+                        Some(end) => { (format_seconds(end.saturating_sub(incident.begin_us))) }
                         None => { "not over" }
                     } }
                     td.n { (incident.affected_calls.cut) } td.n { (incident.affected_calls.lost) }
@@ -149,17 +149,17 @@
     }
 }
 
-fn classes(report: &Report) -> Markup {
+fn classes_table(report: &Report) -> Markup {
     html! {
         div.wide { table {
             tr { th { "class" } th.n { "offered" } th.n { "stood" } th.n { "refused" } th.n { "failed" } th.n { "given up" }
                 th.n { "cut" } th.n { "50%" } th.n { "90%" } th.n { "99%" } th.n { "longest" } }
             @for class in &report.classes {
                 tr {
-                    td { (class.name) } td.n { (class.offered) } td.n { (percent(class.answered, class.offered)) }
-                    td.n { (class.refused) } td.n { (class.failed) } td.n { (class.given_up) } td.n { (class.cut) }
-                    @for part in [0.5, 0.9, 0.99] { td.n { (ms(class.took.value_at_quantile(part))) } }
-                    td.n { (ms(class.took.max())) }
+                    td { (class.name) } td.n { (class.offered) } td.n { (format_percent(class.answered, class.offered)) }
+                    td.n { (class.refused) } td.n { (class.failed) } td.n { (class.abandoned) } td.n { (class.cut) }
+                    @for quantile in [0.5, 0.9, 0.99] { td.n { (format_ms(class.setup_times.value_at_quantile(quantile))) } }
+                    td.n { (format_ms(class.setup_times.max())) }
                 }
             }
         } }
@@ -167,18 +167,21 @@
     }
 }
 
-/// Spans of incidents, in seconds since the first bucket.
-fn bands(report: &Report, of: impl Fn(&Incident) -> bool) -> Vec<Band> {
-    let begin = report.series.first_us;
-    let at = |us: u64| us.saturating_sub(begin) as f64 / 1e6;
-    let wanted = report.analysis.incidents.iter().filter(|incident| of(incident));
-    wanted
-        .map(|i| Band { from: at(i.begin_us), to: at(i.end_us.unwrap_or(report.time_range_us.1)) })
+/// Time ranges of the incidents that a filter selects, in seconds since the first bucket.
+fn bands(report: &Report, filter: impl Fn(&Incident) -> bool) -> Vec<Band> {
+    let first_us = report.series.first_us;
+    let seconds_from_start = |us: u64| us.saturating_sub(first_us) as f64 / 1e6;
+    let selected = report.analysis.incidents.iter().filter(|incident| filter(incident));
+    selected
+        .map(|i| Band {
+            from: seconds_from_start(i.begin_us),
+            to: seconds_from_start(i.end_us.unwrap_or(report.time_range_us.1)),
+        })
         .collect()
 }
 
-/// A chart with its legend.
-fn drawn(unit: &str, curves: &[Curve], bands: &[Band]) -> Markup {
+/// A chart with its legend above it.
+fn chart_with_legend(unit: &str, curves: &[Curve], bands: &[Band]) -> Markup {
     html! {
         p.note { @for (i, curve) in curves.iter().enumerate() {
             span.key style={ "background:" (colour(i)) } {} (curve.name)
@@ -187,39 +190,39 @@
     }
 }
 
-fn calls(report: &Report) -> Markup {
+fn call_charts(report: &Report) -> Markup {
     let series = &report.series;
-    let each = series.bucket_us as f64 / 1e6;
+    let bucket_s = series.bucket_us as f64 / 1e6;
     html! {
         @for (class, buckets) in report.classes.iter().zip(&series.classes) {
-            @let curve = |name: &str, of: fn(&crate::ClassBucket) -> u32| Curve {
+            @let curve = |name: &str, count: fn(&crate::ClassBucket) -> u32| Curve {
                 name: name.to_owned(),
-                points: buckets.iter().enumerate().map(|(i, b)| (i as f64 * each, f64::from(of(b)) / each)).collect(),
+                points: buckets.iter().enumerate().map(|(i, b)| (i as f64 * bucket_s, f64::from(count(b)) / bucket_s)).collect(),
             };
             h3 { (class.name) }
-            (drawn("calls/s", &[
+            (chart_with_legend("calls/s", &[
                 curve("offered", |b| b.offered), curve("refused", |b| b.refused),
                 curve("stood", |b| b.answered), curve("failed or given up", |b| b.failed),
             ], &bands(report, |_| true)))
         }
-        p.note { "Seconds since " (clock(series.first_us)) " UTC; incidents are shaded." }
+        p.note { "Seconds since " (time_of_day(series.first_us)) " UTC; incidents are shaded." }
     }
 }
 
-fn nodes(report: &Report) -> Markup {
+fn node_charts(report: &Report) -> Markup {
     let series = &report.series;
-    let each = series.bucket_us as f64 / 1e6;
+    let bucket_s = series.bucket_us as f64 / 1e6;
     html! {
         @for (exchange, buckets) in &series.nodes {
-            @let curve = |name: &str, of: &dyn Fn(&crate::NodeBucket) -> Option<f64>| Curve {
+            @let curve = |name: &str, value: &dyn Fn(&crate::NodeBucket) -> Option<f64>| Curve {
                 name: name.to_owned(),
-                points: buckets.iter().enumerate().filter_map(|(i, b)| Some((i as f64 * each, of(b)?))).collect(),
+                points: buckets.iter().enumerate().filter_map(|(i, b)| Some((i as f64 * bucket_s, value(b)?))).collect(),
             };
             h3 { "node " (exchange) }
-            (drawn("ms, circuits, attempts", &[
+            (chart_with_legend("ms, circuits, attempts", &[
                 curve("expected set-up time", &|b| Some(f64::from(b.expected_ms))),
-                curve("free circuits", &|b| b.free.map(f64::from)),
-                curve("attempts out", &|b| Some(f64::from(b.out))),
+                curve("free circuits", &|b| b.free_circuits.map(f64::from)),
+                curve("attempts out", &|b| Some(f64::from(b.open_attempts))),
             ], &bands(report, |incident| incident.exchange == Some(*exchange))))
         }
         p.note { "As all softswitches together saw it: the longest time that one expected, the fewest circuits free in the "
@@ -227,7 +230,7 @@
     }
 }
 
-fn reasons(report: &Report) -> Markup {
+fn reason_tables(report: &Report) -> Markup {
     let mut ends: Vec<_> = report.attempt_ends.iter().collect();
     ends.sort_by_key(|(_, count)| std::cmp::Reverse(**count));
     let mut refusals: Vec<_> = report.refusals.iter().collect();
@@ -240,13 +243,13 @@
         h3 { "Attempts that came to nothing" }
         div.wide { table {
             tr { th { "how" } th { "why" } th.n { "how many" } }
-            @for ((how, why), count) in ends { tr { td { (outcome(*how)) } td { (why) } td.n { (count) } } }
+            @for ((outcome, reason), count) in ends { tr { td { (outcome_text(*outcome)) } td { (reason) } td.n { (count) } } }
         } }
     }
 }
 
-fn timeline(report: &Report) -> Markup {
-    let tone = |kind: &str| match kind {
+fn timeline_table(report: &Report) -> Markup {
+    let row_class = |kind: &str| match kind {
         "circuits-ran-out" | "calls-shed" | "node-died" | "node-stalled" | "node-slow" | "list-lag"
         | "softswitch-crashed" | "gap" | "records-lost" => "bad",
         "node-returned-cold"
@@ -261,21 +264,22 @@
     html! {
         div.wide { table {
             tr { th { "time" } th { "what" } th { "node" } th { "softswitch" } th { "in words" } }
-            @for line in &report.analysis.events {
-                tr class=(tone(line.kind)) {
-                    td.t { (clock(line.at_us)) }
-                    td { (line.kind) }
-                    td { @if let Some(exchange) = line.exchange { (exchange) } }
-                    td { @if let Some(name) = line.softswitch.and_then(|place| report.softswitches.get(place)) { (name) } }
-                    td { (line.detail) }
+            @for event in &report.analysis.events {
+                tr class=(row_class(event.kind)) {
+                    td.t { (time_of_day(event.at_us)) }
+                    td { (event.kind) }
+                    td { @if let Some(exchange) = event.exchange { (exchange) } }
+                    td { @if let Some(name) = event.softswitch.and_then(|index| report.softswitches.get(index)) { (name) } }
+                    td { (event.detail) }
                 }
             }
         } }
     }
 }
 
-fn clocks(report: &Report) -> Markup {
-    let half = |us: Option<i64>| us.map_or("not known".to_owned(), |us| format!("{:.1} ms", us as f64 / 1e3));
+fn clocks_table(report: &Report) -> Markup {
+    let format_offset =
+        |us: Option<i64>| us.map_or("not known".to_owned(), |us| format!("{:.1} ms", us as f64 / 1e3));
     html! {
         p { "Times are those of "
             @if let Some(name) = &report.reference { (name) } @else { "each softswitch itself" }
@@ -286,7 +290,7 @@
         div.wide { table {
             tr { th { "softswitch" } th.n { "ahead" } th.n { "give or take" } }
             @for clock in &report.clocks {
-                tr { td { (clock.softswitch) } td.n { (half(clock.ahead_us)) } td.n { (half(clock.uncertain_us)) } }
+                tr { td { (clock.softswitch) } td.n { (format_offset(clock.ahead_us)) } td.n { (format_offset(clock.uncertainty_us)) } }
             }
         } }
     }
--- a/crates/report/src/series.rs
+++ b/crates/report/src/series.rs
@@ -1,93 +1,94 @@
-//! Calls and nodes over time, in buckets that grow with the time told: memory stays bounded however long that is.
+//! Time series of calls and nodes. Buckets grow with the time range, so memory is bounded for a range of any length.
 
 use std::collections::BTreeMap;
 
 use swiftlb_record::Event;
 
-/// Length of a bucket to begin with, in microseconds.
-const BUCKET_US: u64 = 1_000_000;
-/// Most buckets; one more and each two become one.
-const MOST: usize = 3_600;
+/// Initial length of a bucket, in microseconds.
+const INITIAL_BUCKET_US: u64 = 1_000_000;
+/// Maximum number of buckets. When one more is needed, each pair is merged into one of double length.
+const MAX_BUCKETS: usize = 3_600;
 
 /// Calls of one class in one bucket.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassBucket {
-    /// Came.
+    /// Calls offered.
     pub offered: u32,
-    /// Came to stand.
+    /// Calls established.
     pub answered: u32,
-    /// Were turned away.
+    /// Calls refused.
     pub refused: u32,
-    /// Failed or were given up.
+    /// Calls that failed or were abandoned.
     pub failed: u32,
 }
 
 /// One node in one bucket.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeBucket {
-    /// The longest that any softswitch expected a set-up there to take, in ms.
+    /// Longest set-up time that any softswitch expected there, in ms.
     pub expected_ms: u32,
-    /// The most attempts that were out there, over all softswitches.
-    pub out: u32,
-    /// The fewest circuits that were free toward it, over all softswitches that tell.
-    pub free: Option<u32>,
+    /// Maximum number of open attempts, summed over all softswitches.
+    pub open_attempts: u32,
+    /// Minimum number of free circuits toward it, summed over the softswitches that recorded it.
+    pub free_circuits: Option<u32>,
 }
 
-/// Everything over time.
+/// Time series of all classes and nodes.
 #[derive(Clone, Debug, Default)]
 pub struct Series {
-    /// Time of the first bucket, in Unix microseconds.
+    /// Beginning of the first bucket, in Unix microseconds.
     pub first_us: u64,
-    /// Length of a bucket.
+    /// Length of a bucket, in microseconds.
     pub bucket_us: u64,
-    /// By class, in the order of the report's classes; callers' own calls alone.
+    /// Buckets by class, in the order of the report's classes. Calls in transit are not included.
     pub classes: Vec<Vec<ClassBucket>>,
-    /// By number of the exchange.
+    /// Buckets by number of the exchange.
     pub nodes: BTreeMap<u32, Vec<NodeBucket>>,
     length: usize,
-    /// Last word of each softswitch on each exchange: attempts out, free circuits.
-    out: BTreeMap<(u32, usize), u32>,
-    free: BTreeMap<(u32, usize), u32>,
+    /// Last values by exchange and softswitch: open attempts, free circuits.
+    open_attempts: BTreeMap<(u32, usize), u32>,
+    free_circuits: BTreeMap<(u32, usize), u32>,
 }
 
-fn fold<T: Copy + Default>(buckets: &mut Vec<T>, join: impl Fn(T, T) -> T) {
+/// Merges each pair of neighbouring buckets; an odd last one is merged with an empty bucket.
+fn merge_pairs<T: Copy + Default>(buckets: &mut Vec<T>, merge: impl Fn(T, T) -> T) {
     *buckets =
-        buckets.chunks(2).map(|pair| join(pair[0], pair.get(1).copied().unwrap_or_default())).collect();
+        buckets.chunks(2).map(|pair| merge(pair[0], pair.get(1).copied().unwrap_or_default())).collect();
 }
 
 impl Series {
-    /// None yet.
+    /// Creates series without buckets.
     pub fn new() -> Self {
-        Self { bucket_us: BUCKET_US, ..Self::default() }
+        Self { bucket_us: INITIAL_BUCKET_US, ..Self::default() }
     }
 
-    /// Buckets so far.
+    /// Number of buckets.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether there is none.
+    /// Whether there are no buckets.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    fn place(&mut self, at: u64) -> usize {
+    fn bucket_index(&mut self, at_us: u64) -> usize {
         if self.length == 0 {
-            self.first_us = at / BUCKET_US * BUCKET_US;
+            self.first_us = at_us / INITIAL_BUCKET_US * INITIAL_BUCKET_US;
         }
         loop {
-            let place = (at.saturating_sub(self.first_us) / self.bucket_us) as usize;
-            if place < MOST {
-                self.length = self.length.max(place + 1);
-                return place;
+            let index = (at_us.saturating_sub(self.first_us) / self.bucket_us) as usize;
+            if index < MAX_BUCKETS {
+                self.length = self.length.max(index + 1);
+                return index;
             }
-            self.widen();
+            self.double_bucket_length();
         }
     }
 
-    fn widen(&mut self) {
+    fn double_bucket_length(&mut self) {
         for buckets in &mut self.classes {
-            fold(buckets, |a, b| ClassBucket {
+            merge_pairs(buckets, |a, b| ClassBucket {
                 offered: a.offered + b.offered,
                 answered: a.answered + b.answered,
                 refused: a.refused + b.refused,
@@ -95,72 +96,75 @@
             });
         }
         for buckets in self.nodes.values_mut() {
-            fold(buckets, |a, b| NodeBucket {
+            merge_pairs(buckets, |a, b| NodeBucket {
                 expected_ms: a.expected_ms.max(b.expected_ms),
-                out: a.out.max(b.out),
-                free: a.free.into_iter().chain(b.free).min(),
+                open_attempts: a.open_attempts.max(b.open_attempts),
+                free_circuits: a.free_circuits.into_iter().chain(b.free_circuits).min(),
             });
         }
         self.bucket_us *= 2;
         self.length = self.length.div_ceil(2);
     }
 
-    /// Counts a call of a class; those in transit are their origin's.
-    pub(crate) fn class(
+    /// Counts a call in the series of its class, unless it is in transit: then its origin counts it.
+    pub(crate) fn count_call(
         &mut self,
-        at: u64,
+        at_us: u64,
         class: usize,
-        own: bool,
-        of: impl Fn(&mut ClassBucket) -> &mut u32,
+        is_origin: bool,
+        counter: impl Fn(&mut ClassBucket) -> &mut u32,
     ) {
-        if !own {
+        if !is_origin {
             return;
         }
-        let place = self.place(at);
+        let index = self.bucket_index(at_us);
         if self.classes.len() <= class {
             self.classes.resize(class + 1, Vec::new());
         }
         let buckets = &mut self.classes[class];
-        if buckets.len() <= place {
-            buckets.resize(place + 1, ClassBucket::default());
+        if buckets.len() <= index {
+            buckets.resize(index + 1, ClassBucket::default());
         }
-        *of(&mut buckets[place]) += 1;
+        *counter(&mut buckets[index]) += 1;
     }
 
-    fn node(&mut self, at: u64, exchange: u32) -> &mut NodeBucket {
-        let place = self.place(at);
+    fn node_bucket(&mut self, at_us: u64, exchange: u32) -> &mut NodeBucket {
+        let index = self.bucket_index(at_us);
         let buckets = self.nodes.entry(exchange).or_default();
-        if buckets.len() <= place {
-            buckets.resize(place + 1, NodeBucket::default());
+        if buckets.len() <= index {
+            buckets.resize(index + 1, NodeBucket::default());
         }
-        &mut buckets[place]
+        &mut buckets[index]
     }
 
-    /// Takes what an event says of a node.
-    pub(crate) fn see(&mut self, at: u64, who: usize, event: &Event) {
+    /// Updates the series of the node that an event concerns.
+    pub(crate) fn observe(&mut self, at_us: u64, softswitch: usize, event: &Event) {
         match event {
             Event::ExpectedDelay { exchange, expected_ms, open_attempts } => {
-                self.out.insert((*exchange, who), *open_attempts);
-                let all = self
-                    .out
+                self.open_attempts.insert((*exchange, softswitch), *open_attempts);
+                let total = self
+                    .open_attempts
                     .range((*exchange, 0)..=(*exchange, usize::MAX))
                     .map(|(_, open_attempts)| open_attempts)
                     .sum();
-                let node = self.node(at, *exchange);
+                let node = self.node_bucket(at_us, *exchange);
                 node.expected_ms = node.expected_ms.max(*expected_ms);
-                node.out = node.out.max(all);
+                node.open_attempts = node.open_attempts.max(total);
             }
             Event::Group { exchange, free, .. } => {
-                self.free.insert((*exchange, who), *free);
-                let all: u32 =
-                    self.free.range((*exchange, 0)..=(*exchange, usize::MAX)).map(|(_, free)| free).sum();
-                let node = self.node(at, *exchange);
-                node.free = Some(node.free.map_or(all, |least| least.min(all)));
+                self.free_circuits.insert((*exchange, softswitch), *free);
+                let total: u32 = self
+                    .free_circuits
+                    .range((*exchange, 0)..=(*exchange, usize::MAX))
+                    .map(|(_, free)| free)
+                    .sum();
+                let node = self.node_bucket(at_us, *exchange);
+                node.free_circuits = Some(node.free_circuits.map_or(total, |least| least.min(total)));
             }
-            // A process that has just started knows of none.
+            // Values recorded by the process that ran before are no longer valid.
             Event::Started { .. } => {
-                self.out.retain(|(_, softswitch), _| *softswitch != who);
-                self.free.retain(|(_, softswitch), _| *softswitch != who);
+                self.open_attempts.retain(|(_, index), _| *index != softswitch);
+                self.free_circuits.retain(|(_, index), _| *index != softswitch);
             }
             _ => {}
         }
