--- a/crates/report/src/incident/mod.rs
+++ b/crates/report/src/incident/mod.rs
@@ -25,7 +25,8 @@
 use node::NodeDetector;
 use refusals::{CallOutcome, RefusalDetector};
 
-/// Kind of an incident. For those of a node the order is the severity: an earlier kind replaces a later one.
+/// Kind of an incident. The kinds of a node are ordered by severity, the most severe first: only a more severe incident
+/// replaces the current one of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum IncidentKind {
     /// The process of the exchange was gone: connections to it broke and new ones were refused.
@@ -102,7 +103,7 @@
     pub begin_us: u64,
     /// When it ended; `None` if the records end before that.
     pub end_us: Option<u64>,
-    /// What shows it, as text for the report.
+    /// Evidence that it was detected from, as text for the report.
     pub evidence: String,
     /// How often it recurred shortly after it had ended: a node that flaps is one incident.
     pub flaps: u32,
@@ -123,11 +124,11 @@
     pub kind: &'static str,
     /// Number of the exchange that it concerns, if any.
     pub exchange: Option<u32>,
-    /// Description for people.
+    /// Readable description.
     pub detail: String,
 }
 
-/// What a merged timeline shows.
+/// Result of the analysis of a merged timeline.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Analysis {
     /// The incidents, in the order of their beginnings.
@@ -158,7 +159,7 @@
     latest_us: u64,
 }
 
-/// Time between two runs that attribute affected calls to incidents.
+/// Interval at which affected calls are attributed to incidents.
 const ATTRIBUTION_INTERVAL_US: u64 = 10_000_000;
 /// Interval of the checks for what has not happened, such as a missing answer.
 const TICK_INTERVAL_US: u64 = 100_000;
@@ -339,7 +340,7 @@
             .collect();
         self.list.compare(now_us, &dead);
         let nodes = &self.nodes;
-        // Calls to a dead, stalled, slow or cold node are refused for that reason, which is an incident already.
+        // If a node is dead, stalled, slow or cold, that is the reason why calls to it are refused.
         self.refusals
             .tick(now_us, |dest| nodes.get(&dest).is_some_and(|node| node.explains_refusals(now_us)));
         let crashed: Vec<(usize, u64)> = self
--- a/crates/report/src/incident/node.rs
+++ b/crates/report/src/incident/node.rs
@@ -65,7 +65,7 @@
     baseline_updated_us: u64,
     slow_since_us: Option<u64>,
     recovered_since_us: Option<u64>,
-    /// Last start of its process that was seen or listed.
+    /// When its process last started, as seen from connections or listed.
     started_us: Option<u64>,
     /// Until when the backlog of a stall explains slow answers.
     backlog_until_us: u64,
@@ -120,6 +120,7 @@
         self.current.is_some() || self.past.last().is_some_and(ended_recently) || self.is_cold(now_us)
     }
 
+    /// Whether its process started only shortly before.
     fn is_cold(&self, now_us: u64) -> bool {
         self.started_us.is_some_and(|started| now_us < started + COLD_PERIOD_US)
     }
@@ -168,7 +169,7 @@
         (self.slow_since_us, self.recovered_since_us) = (None, None);
     }
 
-    fn is_current(&self, kind: IncidentKind) -> bool {
+    fn has_current(&self, kind: IncidentKind) -> bool {
         self.current.as_ref().is_some_and(|current| current.kind == kind)
     }
 
@@ -182,7 +183,7 @@
         match change {
             ConnectionChange::Up => {
                 self.lost_conns.remove(&softswitch);
-                if self.is_current(IncidentKind::NodeDied) {
+                if self.has_current(IncidentKind::NodeDied) {
                     self.end_incident(at_us);
                     self.process_started(at_us);
                 }
@@ -199,7 +200,7 @@
                 let refused: Vec<u64> = refused.map(|(lost, _)| *lost).collect();
                 // The node's own softswitch has no connection to it, so it cannot see one refused.
                 let required = MIN_REFUSED_SOFTSWITCHES.min(running_softswitches.saturating_sub(1)).max(1);
-                if refused.len() >= required && !self.is_current(IncidentKind::NodeDied) {
+                if refused.len() >= required && !self.has_current(IncidentKind::NodeDied) {
                     let recent = refused.iter().filter(|lost| **lost + REFUSAL_WINDOW_US >= at_us).min();
                     let begin = recent.copied().unwrap_or(at_us);
                     let evidence = format!("{} softswitches were refused a way to it", refused.len());
@@ -240,7 +241,7 @@
             }
             ListedReadiness::Ready if !self.name.is_empty() && self.name != name => {
                 let begin = self.draining_since_us.take().unwrap_or(at_us);
-                if self.is_current(IncidentKind::NodeDied) {
+                if self.has_current(IncidentKind::NodeDied) {
                     self.end_incident(at_us);
                 }
                 // Softswitches record the same replacement at slightly different times; it counts once.
@@ -268,6 +269,7 @@
         self.open_attempts.insert(call_key, at_us);
     }
 
+    /// Removes an attempt that ended without showing anything about the node.
     pub(super) fn forget_attempt(&mut self, call_key: CallKey) {
         self.open_attempts.remove(&call_key);
     }
@@ -290,7 +292,7 @@
     /// A message of the node itself arrived, which ends a stall.
     fn message_received(&mut self, at_us: u64) {
         self.last_heard_us = at_us;
-        if self.is_current(IncidentKind::NodeStalled) {
+        if self.has_current(IncidentKind::NodeStalled) {
             self.end_incident(at_us);
             self.backlog_until_us = at_us + MAX_BACKLOG_US;
         }
@@ -362,7 +364,7 @@
             }
         } else {
             self.slow_since_us = None;
-            if recovered && self.is_current(IncidentKind::NodeSlow) {
+            if recovered && self.has_current(IncidentKind::NodeSlow) {
                 let since = *self.recovered_since_us.get_or_insert(now_us);
                 if now_us >= since + MIN_SLOW_DURATION_US {
                     self.end_incident(since);
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -28,7 +28,7 @@
 pub struct ClassStats {
     /// Name of the class.
     pub name: String,
-    /// Calls from the callers of the softswitches; those in transit don't count again.
+    /// Calls offered by callers. A call in transit is counted at its origin only.
     pub offered: u64,
     /// Calls that were established.
     pub answered: u64,
@@ -86,9 +86,10 @@
     pub file_errors: Vec<String>,
 }
 
-/// Calls in progress, with the index of their class and whether they come from a caller, not in transit.
+/// Calls in progress by softswitch and call uid, each with the index of its class and whether the softswitch is its origin.
 #[derive(Debug, Default)]
 struct OpenCalls {
+    /// Calls that are being set up.
     open: BTreeMap<(usize, u64), (usize, bool)>,
     /// Established calls, kept to count those that are cut.
     established: BTreeMap<(usize, u64), (usize, bool)>,
