--- a/crates/report/src/charts.rs
+++ b/crates/report/src/charts.rs
@@ -38,7 +38,7 @@
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, SIZE_PX).into_drawing_area();
-        // Drawing into a string has no error worth reporting; the page would only lack the chart.
+        // A chart that cannot be drawn is left out of the page; no one could act on the error.
         let _ = draw(&area, unit, curves, bands, (max_x, max_y.max(1.0) * 1.05));
         let _ = area.present();
     }
--- a/crates/report/src/incident/affected_calls.rs
+++ b/crates/report/src/incident/affected_calls.rs
@@ -129,8 +129,8 @@
     }
 
     /// Attributes the calls that were affected up to this time. The exchanges of a call are searched in order for an
-    /// incident that had begun by then and had not ended long before; of several at one exchange, the one that began last
-    /// is taken. A call without such an incident is dropped: at that age all incidents that could apply are known.
+    /// incident that had begun by then and had not ended long before; of several at one exchange, the one that began
+    /// last is taken. A call without such an incident is dropped: at that age all incidents that could apply are known.
     pub(super) fn attribute_until(&mut self, until_us: u64, incidents: &[&Incident]) {
         while self.unattributed.front().is_some_and(|(at_us, ..)| *at_us <= until_us) {
             let Some((at_us, impact, exchanges)) = self.unattributed.pop_front() else { return };
--- a/crates/report/src/incident/episode.rs
+++ b/crates/report/src/incident/episode.rs
@@ -1,7 +1,7 @@
 //! Groups incidents that belong together and finds which of them triggered which.
 //!
 //! When a node dies, its calls go to other nodes: circuit groups run out, processors slow down, and softswitches shed
-//! calls. An episode shows these incidents as one failure and its consequences.
+//! calls. An episode shows such incidents as one failure and its consequences.
 
 use super::{Incident, IncidentKind};
 
@@ -9,7 +9,8 @@
 const MAX_EPISODE_GAP_US: u64 = 10_000_000;
 /// Longest time between the end of an incident and the beginning of one that it triggered: cut calls are set up again.
 const MAX_TRIGGER_DELAY_US: u64 = 12_000_000;
-/// Uncertainty of a beginning that is derived from evidence: a trigger may seem to begin this much after its consequence.
+/// Uncertainty of a beginning that is derived from evidence: a trigger may seem to begin this much after its
+/// consequence.
 const BEGIN_UNCERTAINTY_US: u64 = 1_500_000;
 
 /// Incidents that belong together.
@@ -49,9 +50,9 @@
     }
 }
 
-/// Sets the trigger of each incident, if there is one: an incident that had begun by then and had not ended long before,
-/// preferably of the same exchange, and of several the one that began last. Expects the incidents in the order of their
-/// beginnings.
+/// Sets the trigger of each incident, if there is one: an incident that had begun by then and had not ended long
+/// before, preferably of the same exchange, and of several the one that began last. Expects the incidents in the order
+/// of their beginnings.
 pub fn find_triggers(incidents: &mut [Incident]) {
     for i in 0..incidents.len() {
         let incident = &incidents[i];
--- a/crates/report/src/incident/list.rs
+++ b/crates/report/src/incident/list.rs
@@ -14,8 +14,8 @@
 /// Compares the list of exchanges with what is known from connections.
 #[derive(Debug, Default)]
 pub(super) struct ListLagDetector {
-    /// Last readiness and start time of each exchange, by number and name. All softswitches receive a change; the first to
-    /// record it counts.
+    /// Last readiness and start time of each exchange, by number and name. All softswitches receive a change; the first
+    /// to record it counts.
     entries: HashMap<(u32, String), (ListedReadiness, u64)>,
     /// Dead exchanges that the list still shows as ready, and since when they are dead.
     wrongly_listed: BTreeMap<u32, u64>,
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Compares the list with the exchanges that are `dead` now, given with the time since when. This finds a lag before
-    /// the list changes, and also when it never does.
+    /// Compares the list with the exchanges that are `dead` now, given with the time since when. This finds a lag
+    /// before the list changes, and also when it never does.
     pub(super) fn compare(&mut self, now_us: u64, dead: &[(u32, u64)]) {
         for (exchange, since_us) in dead {
             let is_listed_ready =
--- a/crates/report/src/incident/node.rs
+++ b/crates/report/src/incident/node.rs
@@ -23,8 +23,8 @@
 const SETUP_TIME_QUANTILE: f64 = 0.1;
 /// A node is slow when that quantile exceeds this multiple of its baseline and also the minimum excess.
 const SLOW_FACTOR: f64 = 2.0;
-/// A slow node has recovered when the quantile is below this multiple of the baseline, or above the baseline by less than
-/// half the minimum excess.
+/// A slow node has recovered when the quantile is below this multiple of the baseline, or above the baseline by less
+/// than half the minimum excess.
 const RECOVERED_FACTOR: f64 = 1.4;
 /// Minimum excess of a slow node's quantile over its baseline.
 const MIN_SLOW_EXCESS_US: f64 = 40_000.0;
@@ -51,7 +51,8 @@
 #[derive(Debug)]
 pub(super) struct NodeDetector {
     exchange: u32,
-    /// Softswitches without a connection to the node: when the connection was lost, and when a new one was last refused.
+    /// Softswitches without a connection to the node: when the connection was lost, and when a new one was last
+    /// refused.
     lost_conns: BTreeMap<usize, (u64, Option<u64>)>,
     /// Open attempts to the node, with the time when each was sent.
     open_attempts: HashMap<CallKey, u64>,
@@ -112,8 +113,8 @@
         all.find(|incident| incident.kind == IncidentKind::NodeDied).map(|death| death.begin_us)
     }
 
-    /// Whether the node's own state explains that calls to it are refused: it has an incident now, had one until shortly
-    /// before, or is cold.
+    /// Whether the node's own state explains that calls to it are refused: it has an incident now, had one until
+    /// shortly before, or is cold.
     pub(super) fn explains_refusals(&self, now_us: u64) -> bool {
         let ended_recently =
             |incident: &Incident| incident.end_us.is_some_and(|end| now_us < end + COLD_PERIOD_US);
--- a/crates/report/src/incident/refusals.rs
+++ b/crates/report/src/incident/refusals.rs
@@ -2,8 +2,8 @@
 //! incident of the node itself.
 //!
 //! Each destination has a window of recent call outcomes. For each of the two kinds of incident a state machine with
-//! hysteresis watches the fraction of refused calls: it has a threshold to begin, a lower one to end, and a time for which
-//! either must hold, so that load that varies around a threshold is one incident.
+//! hysteresis watches the fraction of refused calls: it has a threshold to begin, a lower one to end, and a time for
+//! which either must hold, so that load that varies around a threshold is one incident.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -91,7 +91,8 @@
         self.destinations.entry(dest).or_default().recent.push_back((at_us, outcome));
     }
 
-    /// Updates the incidents of all destinations. `is_explained` tells for a node whether its own state explains refusals.
+    /// Updates the incidents of all destinations. `is_explained` tells for a node whether its own state explains
+    /// refusals.
     pub(super) fn tick(&mut self, now_us: u64, is_explained: impl Fn(u32) -> bool) {
         for (dest, destination) in &mut self.destinations {
             while destination.recent.front().is_some_and(|(at_us, _)| at_us + OUTCOME_WINDOW_US < now_us) {
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -1,8 +1,8 @@
 //! The incident report, made from the records of several softswitches.
 //!
 //! [`Report::build`] streams an archive once and keeps only what the page shows: the incidents found by [`incident`],
-//! statistics by class, and time series whose buckets grow with the time range. [`page::html`] renders the report as one
-//! self-contained page, [`Report::events_jsonl`] its timeline as JSON lines.
+//! statistics by class, and time series whose buckets grow with the time range. [`page::html`] renders the report as
+//! one self-contained page, [`Report::events_jsonl`] its timeline as JSON lines.
 
 mod charts;
 pub mod incident;
@@ -86,7 +86,8 @@
     pub file_errors: Vec<String>,
 }
 
-/// Calls in progress by softswitch and call uid, each with the index of its class and whether the softswitch is its origin.
+/// Calls in progress by softswitch and call uid, each with the index of its class and whether the softswitch is its
+/// origin.
 #[derive(Debug, Default)]
 struct OpenCalls {
     /// Calls that are being set up.
--- a/crates/report/tests/detector.rs
+++ b/crates/report/tests/detector.rs
@@ -192,9 +192,10 @@
         incident(IncidentKind::NoFreeCircuits, 0, 300, Some(301)),
     ];
     find_triggers(&mut incidents);
-    let follows: Vec<Option<usize>> = incidents.iter().map(|incident| incident.triggered_by).collect();
-    // Slowness of the node that died itself (7) has no trigger. Shed calls (4) are triggered by slowness of the same node.
-    assert_eq!(follows, [None, None, Some(0), Some(0), Some(3), None, None, None, Some(6)]);
+    let triggers: Vec<Option<usize>> = incidents.iter().map(|incident| incident.triggered_by).collect();
+    // Slowness of the node that died itself (7) has no trigger. Shed calls (4) are triggered by slowness of the same
+    // node.
+    assert_eq!(triggers, [None, None, Some(0), Some(0), Some(3), None, None, None, Some(6)]);
     let episodes = group_into_episodes(&incidents);
     let indices: Vec<Vec<usize>> = episodes.iter().map(|episode| episode.incidents.clone()).collect();
     assert_eq!(indices, [vec![0, 1, 2, 3, 4], vec![5], vec![6, 7, 8]]);
