--- a/crates/emulator/src/model.rs
+++ b/crates/emulator/src/model.rs
@@ -1,4 +1,4 @@
-//! The model: exchanges, circuits, callers, the list, incidents. No sockets and no clock.
+//! The model: exchanges, circuits, callers, the list of exchanges and incidents, in virtual time and without sockets.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
@@ -9,24 +9,26 @@
 
 use crate::scenario::{CLASSES, Scenario, ScriptedIncident, ScriptedKind};
 
-/// A processor turns set-ups away once its wait passes this.
-const FULL: Duration = Duration::from_millis(3_000);
-/// Part of its speed that a cold processor starts with, and when it is warm.
-const COLD: f64 = 0.34;
-const WARM: Duration = Duration::from_secs(13);
-/// Most work that a set-up is for a warm processor; less where the load would be too much.
-const MOST_WORK: f64 = 0.04;
-/// Part of its time that a processor is busy at the planned load.
-const PLANNED: f64 = 0.7;
-/// Part of the class's limit after which one try is given up, and how often a caller dials again.
-const TRY: f64 = 0.35;
-const REDIALS: u32 = 2;
-/// Where calls go shifts this often.
-const SHIFT: Duration = Duration::from_secs(15);
-/// Calls that stand at the end may go on for this long.
-const GRACE: Duration = Duration::from_secs(12);
-
-/// What a softswitch hears from its callers: subscribers, or exchanges with calls in transit.
+/// A processor refuses set-ups while the wait in its queue is longer than this.
+const MAX_PROCESSOR_WAIT: Duration = Duration::from_millis(3_000);
+/// Fraction of its full speed that a cold processor starts with.
+const COLD_INITIAL_SPEED: f64 = 0.34;
+/// Time after its start until a processor has its full speed.
+const COLD_PERIOD: Duration = Duration::from_secs(13);
+/// Longest processing time of a set-up at full speed; it is shorter where the load needs it.
+const MAX_SETUP_WORK_S: f64 = 0.04;
+/// Utilization of a processor at the planned load.
+const PLANNED_UTILIZATION: f64 = 0.7;
+/// Time-out of one attempt, as a fraction of the time after which a caller of the class abandons the call.
+const ATTEMPT_TIMEOUT_FRACTION: f64 = 0.35;
+/// How often a caller redials after its first attempt.
+const MAX_REDIALS: u32 = 2;
+/// The distribution of calls over destinations changes at this interval.
+const TRAFFIC_SHIFT_INTERVAL: Duration = Duration::from_secs(15);
+/// Calls that are open when the load ends may continue for this long.
+const GRACE_PERIOD: Duration = Duration::from_secs(12);
+
+/// Message to a softswitch from one of its callers: a subscriber, or its own exchange with a call in transit.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MessageFromCaller {
     /// A set-up.
@@ -35,177 +37,181 @@
         class: &'static str,
         /// How long the caller waits.
         remaining: Duration,
-        /// The exchange it is for.
+        /// The destination exchange.
         dest: usize,
-        /// Where a call in transit comes from.
+        /// The exchange that a call in transit comes from.
         transit_from: Option<usize>,
     },
-    /// The set-up is given up, or the call that stands is released.
+    /// The caller abandons the set-up or releases the established call.
     HangUp,
 }
 
-/// What callers hear from a softswitch.
+/// Message from a softswitch to a caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MessageToCaller {
-    /// The call stands.
+    /// The call is established.
     Answered,
-    /// Refused, failed or over, with a cause and how long to stay away.
+    /// The call was refused, failed or has ended: Q.850 cause, and the time for which the caller should not retry.
     Ended(u8, Duration),
 }
 
-/// What an exchange hears from a softswitch.
+/// Message from a softswitch to an exchange.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MessageToExchange {
-    /// Set the call up.
+    /// A set-up.
     SetUp,
-    /// The set-up is given up, or the call is over.
+    /// Cancels the set-up or releases the established call.
     Release,
-    /// A test.
+    /// A probe.
     Probe,
 }
 
-/// What an exchange says to a softswitch.
+/// Message from an exchange to a softswitch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MessageFromExchange {
-    /// The call stands.
+    /// The call is established.
     Answered,
-    /// It does not, or no longer: cause, note, wait at the full processor.
+    /// The attempt failed or the call has ended: Q.850 cause, note, and the wait at the processor if it is full.
     Ended(u8, &'static str, Duration),
-    /// Free circuits of the group between the two, and its size.
+    /// Free circuits and size of the group between this exchange and the exchange of the softswitch.
     GroupState(u32, u32),
-    /// The test is passed.
+    /// The probe succeeded.
     ProbePassed,
 }
 
-/// Something that has happened outside.
+/// Input of the model.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// Only time has passed.
+    /// No event; time has passed.
     Wake,
-    /// A softswitch takes calls.
+    /// A softswitch started to accept calls.
     SoftswitchUp(usize),
-    /// It is gone.
+    /// A softswitch is gone.
     SoftswitchDown(usize),
-    /// It has opened a way to an exchange.
+    /// A softswitch opened a connection to an exchange.
     ExchangeConnected {
-        /// The softswitch.
+        /// Number of the softswitch.
         softswitch: usize,
-        /// The exchange.
+        /// Number of the exchange.
         exchange: usize,
     },
-    /// It says something to an exchange.
+    /// A softswitch sent a message to an exchange.
     ToExchange {
-        /// The softswitch.
+        /// Number of the softswitch.
         softswitch: usize,
-        /// The exchange.
+        /// Number of the exchange.
         exchange: usize,
-        /// The call.
+        /// Id of the call.
         call: u64,
-        /// What.
+        /// The message.
         message: MessageToExchange,
     },
-    /// It says something to a caller.
+    /// A softswitch sent a message to a caller.
     ToCaller {
-        /// The softswitch.
+        /// Number of the softswitch.
         softswitch: usize,
-        /// The call.
+        /// Id of the call.
         call: u64,
-        /// What.
+        /// The message.
         message: MessageToCaller,
     },
 }
 
-/// What the model asks for.
+/// Effect that the model requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// A caller says something to a softswitch.
+    /// Deliver a message from a caller to a softswitch.
     FromCaller {
-        /// The softswitch.
+        /// Number of the softswitch.
         softswitch: usize,
-        /// The call.
+        /// Id of the call.
         call: u64,
-        /// What.
+        /// The message.
         message: MessageFromCaller,
     },
-    /// An exchange does.
+    /// Deliver a message from an exchange to a softswitch.
     FromExchange {
-        /// The softswitch.
+        /// Number of the softswitch.
         softswitch: usize,
-        /// The exchange.
+        /// Number of the exchange.
         exchange: usize,
-        /// The call; 0 for none.
+        /// Id of the call; 0 for none.
         call: u64,
-        /// What.
+        /// The message.
         message: MessageFromExchange,
     },
-    /// An exchange's process is gone: its ways break, and none comes up.
+    /// The process of an exchange is gone: break its connections and accept no new ones.
     ExchangeDown(usize),
-    /// It is there again.
+    /// The process of an exchange runs again: accept connections.
     ExchangeUp(usize),
-    /// Kill a softswitch's process.
+    /// Kill the process of a softswitch.
     KillSoftswitch(usize),
-    /// Start it again.
+    /// Start the process of a softswitch again.
     StartSoftswitch(usize),
 }
 
-/// A line of the list of exchanges.
+/// Entry of the list of exchanges.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedExchange {
-    /// Its name.
+    /// Name of the exchange.
     pub name: String,
-    /// Its number.
+    /// Number of the exchange.
     pub exchange: usize,
-    /// When its processor last started, from the start of the world; `None` for long ago.
+    /// When its processor last started, as time since the start of the run; `None` for long ago.
     pub started_at: Option<Duration>,
-    /// It finishes what it has.
+    /// Whether it is draining: it finishes its calls and accepts no new ones.
     pub draining: bool,
 }
 
-/// How the calls of one class have gone: first tries, those that follow count with them.
+/// Outcomes of the calls of one class. Redials belong to the call of the first attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassTotals {
     /// Calls offered.
     pub offered: u64,
-    /// Stood within the wanted time.
+    /// Calls established within the target set-up time.
     pub in_time: u64,
-    /// Stood later.
+    /// Calls established later.
     pub late: u64,
-    /// Never stood.
+    /// Calls never established.
     pub unserved: u64,
-    /// Of those that stood, cut before their end.
+    /// Established calls that were cut before their end.
     pub cut: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
-    Arrival,
-    Shift,
-    /// A try is given up.
-    GiveUp(u64),
-    /// A caller dials again.
+    NextArrival,
+    TrafficShift,
+    /// A caller gives an attempt up.
+    AttemptTimeout(u64),
+    /// A caller redials.
     Redial(u64),
-    /// The processor has done its job (counted, as one that dies leaves its job).
-    Done(usize, u64),
-    /// A call that stands has come to its end.
-    End(u64),
-    Begin(usize),
-    Over(usize),
-    /// A stalled processor goes on.
-    GoOn(usize),
+    /// A processor finished the job of this number. The number tells it from jobs lost when a processor stopped.
+    JobDone(usize, u64),
+    /// The parties of an established call end it.
+    CallEnd(u64),
+    IncidentBegin(usize),
+    IncidentEnd(usize),
+    /// A stalled processor resumes.
+    Resume(usize),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Phase {
+enum LegPhase {
+    /// The set-up is in the queue of the exchange.
     Queued,
-    Passed,
-    Standing,
+    /// The tandem has forwarded the set-up.
+    Forwarded,
+    /// The call is established on this leg.
+    Established,
 }
 
+/// Leg of a route: a set-up or call on one circuit from one exchange to another.
 #[derive(Clone, Copy, Debug)]
 struct Leg {
     from: usize,
     to: usize,
-    phase: Phase,
+    phase: LegPhase,
 }
 
 #[derive(Clone, Debug)]
@@ -213,30 +219,33 @@
     origin: usize,
     dest: usize,
     class: usize,
-    first: Duration,
-    tries: u32,
-    /// Its caller waits for an answer; it stands for its caller; its caller has gone.
+    first_attempt_at: Duration,
+    redials: u32,
+    /// The caller waits for an answer. If neither this nor `established` is set, the caller has left.
     waiting: bool,
-    stands: bool,
+    /// The call is established for its caller.
+    established: bool,
     legs: Vec<Leg>,
 }
 
 #[derive(Debug)]
 struct Exchange {
     name: String,
-    alive: bool,
+    running: bool,
     stalled: bool,
     draining: bool,
-    factor: f64,
-    born: Option<Duration>,
+    slow_factor: f64,
+    started_at: Option<Duration>,
+    /// Set-ups that wait for the processor: id of the call, and the exchange that sent it.
     queue: VecDeque<(u64, usize)>,
-    /// It works on the first of its queue; jobs are counted.
+    /// The processor works on the first set-up of the queue.
     busy: bool,
+    /// Number of the current or last job.
     job: u64,
-    starts: u32,
+    replacements: u32,
 }
 
-/// The mesh.
+/// Model of a mesh of exchanges with their callers.
 #[derive(Debug)]
 pub struct MeshModel {
     scenario: Scenario,
@@ -245,112 +254,121 @@
     timers: BinaryHeap<Reverse<(Duration, u64, Timer)>>,
     timer_count: u64,
     exchanges: Vec<Exchange>,
-    switches: Vec<bool>,
+    /// Whether each softswitch accepts calls.
+    softswitches: Vec<bool>,
+    /// Free circuits and size of each group.
     groups: BTreeMap<(usize, usize), (u32, u32)>,
     calls: HashMap<u64, Call>,
-    weights: Vec<f64>,
-    work: f64,
-    /// Lists that have counted, when they began to, and how many of them are told by now.
+    /// Relative frequency of each exchange as a destination.
+    dest_weights: Vec<f64>,
+    /// Processing time of a set-up at full speed, in seconds.
+    setup_work_s: f64,
+    /// All versions of the list of exchanges, with the time of each change.
     lists: Vec<(Duration, Vec<ListedExchange>)>,
-    told: usize,
-    lag: Duration,
-    /// Ends that a softswitch that is down has still to hear.
-    owed: Vec<(usize, usize, u64, MessageFromExchange)>,
-    summary: [ClassTotals; CLASSES.len()],
-    /// Set-ups that no caller made, and second attempts while one is out: never, if the rules are kept.
-    broken: u64,
+    /// Index of the version that the resolver delivers now.
+    delivered: usize,
+    list_lag: Duration,
+    /// Ends of calls to be sent once their softswitch connects again: softswitch, exchange, call and message.
+    undelivered: Vec<(usize, usize, u64, MessageFromExchange)>,
+    totals: [ClassTotals; CLASSES.len()],
+    protocol_violations: u64,
 }
 
-fn pair(a: usize, b: usize) -> (usize, usize) {
+/// Key of the group between two exchanges in [`MeshModel::groups`].
+fn group_key(a: usize, b: usize) -> (usize, usize) {
     (a.min(b), a.max(b))
 }
 
 impl MeshModel {
-    /// A world that is about to begin.
+    /// A model at time zero, with all exchanges running and no softswitch.
     pub fn new(scenario: Scenario, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let nodes = scenario.nodes;
-        let held: f64 = CLASSES.iter().map(|class| class.share * class.mean_hold.as_secs_f64()).sum();
-        let load = 2.0 * scenario.calls_per_s * held / (nodes * (nodes - 1)) as f64;
+        let mean_hold_s: f64 = CLASSES.iter().map(|class| class.share * class.mean_hold.as_secs_f64()).sum();
+        let offered_erlangs = 2.0 * scenario.calls_per_s * mean_hold_s / (nodes * (nodes - 1)) as f64;
         let mut groups = BTreeMap::new();
         for a in 0..nodes {
             for b in a + 1..nodes {
-                let size = (load * 1.25 + 2.0 * load.sqrt()) * rng.random_range(0.8..1.3);
+                let size =
+                    (offered_erlangs * 1.25 + 2.0 * offered_erlangs.sqrt()) * rng.random_range(0.8..1.3);
                 let size = size.ceil().max(4.0) as u32;
                 groups.insert((a, b), (size, size));
             }
         }
-        let exchange = |n: usize| Exchange {
+        let new_exchange = |n: usize| Exchange {
             name: format!("s-{n}"),
-            alive: true,
+            running: true,
             stalled: false,
             draining: false,
-            factor: 1.0,
-            born: None,
+            slow_factor: 1.0,
+            started_at: None,
             queue: VecDeque::new(),
             busy: false,
             job: 0,
-            starts: 0,
+            replacements: 0,
         };
-        let work = (PLANNED * nodes as f64 / scenario.calls_per_s.max(0.1) / 1.15).min(MOST_WORK);
-        let mut world = Self {
+        let setup_work_s =
+            (PLANNED_UTILIZATION * nodes as f64 / scenario.calls_per_s.max(0.1) / 1.15).min(MAX_SETUP_WORK_S);
+        let mut model = Self {
             rng,
             now: Duration::ZERO,
             timers: BinaryHeap::new(),
             timer_count: 0,
-            exchanges: (0..nodes).map(exchange).collect(),
-            switches: vec![false; nodes],
+            exchanges: (0..nodes).map(new_exchange).collect(),
+            softswitches: vec![false; nodes],
             groups,
             calls: HashMap::new(),
-            weights: vec![1.0; nodes],
-            work,
+            dest_weights: vec![1.0; nodes],
+            setup_work_s,
             lists: Vec::new(),
-            told: 0,
-            lag: scenario.list_lag,
-            owed: Vec::new(),
-            summary: [ClassTotals::default(); CLASSES.len()],
-            broken: 0,
+            delivered: 0,
+            list_lag: scenario.list_lag,
+            undelivered: Vec::new(),
+            totals: [ClassTotals::default(); CLASSES.len()],
+            protocol_violations: 0,
             scenario,
         };
-        world.list_changes();
-        world.set(Duration::ZERO, Timer::Arrival);
-        world.set(SHIFT, Timer::Shift);
-        for (i, incident) in world.scenario.incidents.clone().iter().enumerate() {
-            world.set(incident.at, Timer::Begin(i));
-            world.set(incident.at + incident.duration, Timer::Over(i));
+        model.publish_list();
+        model.set_timer(Duration::ZERO, Timer::NextArrival);
+        model.set_timer(TRAFFIC_SHIFT_INTERVAL, Timer::TrafficShift);
+        for (i, incident) in model.scenario.incidents.clone().iter().enumerate() {
+            model.set_timer(incident.at, Timer::IncidentBegin(i));
+            model.set_timer(incident.at + incident.duration, Timer::IncidentEnd(i));
         }
-        world
+        model
     }
 
-    /// What is played.
+    /// The scenario of this run.
     pub fn scenario(&self) -> &Scenario {
         &self.scenario
     }
 
-    /// When it wants to be woken.
+    /// When the next timer expires: [`MeshModel::handle`] should be called by then.
     pub fn next_wake(&self) -> Option<Duration> {
         self.timers.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// Whether all is over.
+    /// Whether the load has ended and the open calls have ended or run out of time.
     pub fn is_finished(&self) -> bool {
         let end = self.scenario.duration;
-        self.now >= end + GRACE || (self.now >= end && self.calls.is_empty())
+        self.now >= end + GRACE_PERIOD || (self.now >= end && self.calls.is_empty())
     }
 
-    /// How the calls have gone, by class in the order of [`CLASSES`].
+    /// Outcomes of the calls by class, in the order of [`CLASSES`].
     pub fn totals(&self) -> [ClassTotals; CLASSES.len()] {
-        self.summary
+        self.totals
     }
 
-    /// Set-ups that no caller made, and second attempts while one was out.
+    /// Number of set-ups that break the protocol: from a softswitch that does not have the call, or a second one from the
+    /// same softswitch while the first is open. 0 if the softswitches work correctly.
     pub fn protocol_violations(&self) -> u64 {
-        self.broken
+        self.protocol_violations
     }
 
-    /// Worth of the calls that stood in time or late and were not cut, over the worth offered.
+    /// Worth of the served calls as a fraction of the worth offered. A late call counts with its reduced worth; a cut call
+    /// is subtracted from those established in time.
     pub fn service_level(&self) -> f64 {
-        let classes = || self.summary.iter().zip(CLASSES);
+        let classes = || self.totals.iter().zip(CLASSES);
         let offered: f64 = classes().map(|(s, class)| s.offered as f64 * class.worth).sum();
         let earned = classes().map(|(s, class)| {
             (s.in_time.saturating_sub(s.cut) as f64 + class.late_worth_factor * s.late as f64) * class.worth
@@ -360,98 +378,104 @@
 
     /// Whether the process of an exchange runs.
     pub fn is_exchange_running(&self, exchange: usize) -> bool {
-        self.exchanges[exchange].alive
+        self.exchanges[exchange].running
     }
 
-    /// The list of exchanges as the resolver tells it now, and its serial.
+    /// The list of exchanges that the resolver delivers now, and its serial.
     pub fn list(&mut self, now: Duration) -> (u32, &[ListedExchange]) {
         self.now = self.now.max(now);
-        // What was told once stays told, however far the list lags behind later on.
-        while self.lists.get(self.told + 1).is_some_and(|(at, _)| *at + self.lag <= self.now) {
-            self.told += 1;
+        // A version once delivered is not withdrawn when the lag grows.
+        while self.lists.get(self.delivered + 1).is_some_and(|(at, _)| *at + self.list_lag <= self.now) {
+            self.delivered += 1;
         }
-        (self.told as u32 + 1, &self.lists[self.told].1)
+        (self.delivered as u32 + 1, &self.lists[self.delivered].1)
     }
 
-    fn set(&mut self, at: Duration, timer: Timer) {
+    fn set_timer(&mut self, at: Duration, timer: Timer) {
         self.timer_count += 1;
         self.timers.push(Reverse((at, self.timer_count, timer)));
     }
 
-    /// Takes one input and adds what follows; what is due by then comes first.
+    /// Handles the timers that have expired by `now` and then one input; appends the effects to `out`.
     pub fn handle(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
         while let Some(Reverse((at, _, timer))) = self.timers.peek().copied()
             && at <= now
         {
             self.timers.pop();
             self.now = self.now.max(at);
-            self.ring(timer, out);
+            self.handle_timer(timer, out);
         }
         self.now = self.now.max(now);
         match input {
             Input::Wake => {}
-            Input::SoftswitchUp(softswitch) => self.switches[softswitch] = true,
-            Input::SoftswitchDown(softswitch) => self.lose_switch(softswitch, out),
-            Input::ExchangeConnected { softswitch, exchange } => self.way_up(softswitch, exchange, out),
+            Input::SoftswitchUp(softswitch) => self.softswitches[softswitch] = true,
+            Input::SoftswitchDown(softswitch) => self.handle_softswitch_down(softswitch, out),
+            Input::ExchangeConnected { softswitch, exchange } => {
+                self.handle_exchange_connected(softswitch, exchange, out)
+            }
             Input::ToExchange { softswitch, exchange, call, message } => {
-                if self.exchanges[exchange].alive {
-                    self.hear_switch(softswitch, exchange, call, message, out);
+                if self.exchanges[exchange].running {
+                    self.handle_message_to_exchange(softswitch, exchange, call, message, out);
                 }
             }
-            Input::ToCaller { softswitch, call, message } => self.hear_caller(softswitch, call, message, out),
+            Input::ToCaller { softswitch, call, message } => {
+                self.handle_message_to_caller(softswitch, call, message, out)
+            }
         }
     }
 
-    fn ring(&mut self, timer: Timer, out: &mut Vec<Output>) {
+    fn handle_timer(&mut self, timer: Timer, out: &mut Vec<Output>) {
         match timer {
-            Timer::Arrival => self.arrive(out),
-            Timer::Shift => {
-                for weight in &mut self.weights {
+            Timer::NextArrival => self.place_new_call(out),
+            Timer::TrafficShift => {
+                for weight in &mut self.dest_weights {
                     *weight = self.rng.random_range(0.6..1.4);
                 }
-                self.set(self.now + SHIFT, Timer::Shift);
+                self.set_timer(self.now + TRAFFIC_SHIFT_INTERVAL, Timer::TrafficShift);
             }
-            Timer::GiveUp(call) => {
-                if let Some(held) = self.calls.get(&call).filter(|held| held.waiting) {
+            Timer::AttemptTimeout(call) => {
+                if let Some(state) = self.calls.get(&call).filter(|state| state.waiting) {
                     out.push(Output::FromCaller {
-                        softswitch: held.origin,
+                        softswitch: state.origin,
                         call,
                         message: MessageFromCaller::HangUp,
                     });
-                    self.unanswered(call, Duration::ZERO);
+                    self.end_failed_attempt(call, Duration::ZERO);
                 }
             }
             Timer::Redial(call) => self.dial(call, out),
-            Timer::Done(exchange, job) => self.job_done(exchange, job, out),
-            Timer::End(call) => self.end(call, out),
-            Timer::Begin(i) => self.begin(self.scenario.incidents[i], out),
-            Timer::Over(i) => self.over(self.scenario.incidents[i], out),
-            Timer::GoOn(exchange) => self.work_on(exchange),
+            Timer::JobDone(exchange, job) => self.finish_job(exchange, job, out),
+            Timer::CallEnd(call) => self.end_call(call, out),
+            Timer::IncidentBegin(i) => self.begin_incident(self.scenario.incidents[i], out),
+            Timer::IncidentEnd(i) => self.end_incident(self.scenario.incidents[i], out),
+            Timer::Resume(exchange) => self.start_next_job(exchange),
         }
     }
 
     // ---- callers ----
 
-    fn arrive(&mut self, out: &mut Vec<Output>) {
+    /// Draws a new call and the time of the next one. The timer at time zero only starts the arrivals.
+    fn place_new_call(&mut self, out: &mut Vec<Output>) {
         if self.now >= self.scenario.duration || self.scenario.calls_per_s <= 0.0 {
             return;
         }
         let gap = -self.rng.random::<f64>().max(1e-12).ln() / self.scenario.calls_per_s;
-        self.set(self.now + Duration::from_secs_f64(gap), Timer::Arrival);
+        self.set_timer(self.now + Duration::from_secs_f64(gap), Timer::NextArrival);
         if self.now.is_zero() {
             return;
         }
         let origin = self.rng.random_range(0..self.scenario.nodes);
-        let total: f64 = (0..self.scenario.nodes).filter(|n| *n != origin).map(|n| self.weights[n]).sum();
+        let total: f64 =
+            (0..self.scenario.nodes).filter(|n| *n != origin).map(|n| self.dest_weights[n]).sum();
         let mut point = self.rng.random_range(0.0..total);
         let others = (0..self.scenario.nodes).filter(|n| *n != origin);
         let mut dest = (origin + 1) % self.scenario.nodes;
         for n in others {
-            if point < self.weights[n] {
+            if point < self.dest_weights[n] {
                 dest = n;
                 break;
             }
-            point -= self.weights[n];
+            point -= self.dest_weights[n];
         }
         let mut point = self.rng.random::<f64>();
         let class = CLASSES.iter().position(|class| {
@@ -459,104 +483,123 @@
             point < 0.0
         });
         let class = class.unwrap_or(0);
-        self.summary[class].offered += 1;
+        self.totals[class].offered += 1;
         let call = self.rng.random::<u64>();
-        let (first, legs) = (self.now, Vec::new());
-        let fresh = Call { origin, dest, class, first, tries: 0, waiting: false, stands: false, legs };
-        self.calls.insert(call, fresh);
+        let (first_attempt_at, legs) = (self.now, Vec::new());
+        let new_call = Call {
+            origin,
+            dest,
+            class,
+            first_attempt_at,
+            redials: 0,
+            waiting: false,
+            established: false,
+            legs,
+        };
+        self.calls.insert(call, new_call);
         self.dial(call, out);
     }
 
+    /// Sends the set-up of a call to the softswitch of its origin; nothing is sent if that is down.
     fn dial(&mut self, call: u64, out: &mut Vec<Output>) {
-        let Some(held) = self.calls.get_mut(&call) else { return };
-        let class = CLASSES[held.class];
-        held.waiting = true;
-        let left = class.abandon_after.mul_f64(TRY);
-        let (softswitch, dest) = (held.origin, held.dest);
-        if self.switches[softswitch] {
-            let message =
-                MessageFromCaller::SetUp { class: class.name, remaining: left, dest, transit_from: None };
+        let Some(state) = self.calls.get_mut(&call) else { return };
+        let class = CLASSES[state.class];
+        state.waiting = true;
+        let remaining = class.abandon_after.mul_f64(ATTEMPT_TIMEOUT_FRACTION);
+        let (softswitch, dest) = (state.origin, state.dest);
+        if self.softswitches[softswitch] {
+            let message = MessageFromCaller::SetUp { class: class.name, remaining, dest, transit_from: None };
             out.push(Output::FromCaller { softswitch, call, message });
         }
-        self.set(self.now + left, Timer::GiveUp(call));
-    }
-
-    /// A try has come to nothing: its caller dials again, or was not served.
-    fn unanswered(&mut self, call: u64, wait: Duration) {
-        let Some(held) = self.calls.get_mut(&call) else { return };
-        held.waiting = false;
-        let (class, first, tries) = (held.class, held.first, held.tries);
-        let next = Call { tries: tries + 1, legs: Vec::new(), ..held.clone() };
-        self.forget_if_over(call);
-        let pause = wait.max(Duration::from_secs_f64(self.rng.random_range(0.5..2.0)));
-        if tries < REDIALS && self.now + pause < first + CLASSES[class].abandon_after {
-            // Every try has an id of its own.
-            let again = self.rng.random::<u64>();
-            self.calls.insert(again, next);
-            self.set(self.now + pause, Timer::Redial(again));
+        self.set_timer(self.now + remaining, Timer::AttemptTimeout(call));
+    }
+
+    /// Ends an attempt that failed or timed out: the caller redials after a pause, or the call counts as unserved.
+    fn end_failed_attempt(&mut self, call: u64, retry_after: Duration) {
+        let Some(state) = self.calls.get_mut(&call) else { return };
+        state.waiting = false;
+        let (class, first_attempt_at, redials) = (state.class, state.first_attempt_at, state.redials);
+        let next_attempt = Call { redials: redials + 1, legs: Vec::new(), ..state.clone() };
+        self.remove_if_ended(call);
+        let pause = retry_after.max(Duration::from_secs_f64(self.rng.random_range(0.5..2.0)));
+        if redials < MAX_REDIALS && self.now + pause < first_attempt_at + CLASSES[class].abandon_after {
+            // Every attempt of a caller has a call id of its own.
+            let next_call = self.rng.random::<u64>();
+            self.calls.insert(next_call, next_attempt);
+            self.set_timer(self.now + pause, Timer::Redial(next_call));
         } else {
-            self.summary[class].unserved += 1;
+            self.totals[class].unserved += 1;
         }
     }
 
-    fn hear_caller(&mut self, softswitch: usize, call: u64, message: MessageToCaller, out: &mut Vec<Output>) {
-        let Some(held) = self.calls.get_mut(&call) else { return };
-        if held.origin != softswitch {
-            return self.hear_transit(softswitch, call, message, out);
+    fn handle_message_to_caller(
+        &mut self,
+        softswitch: usize,
+        call: u64,
+        message: MessageToCaller,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(state) = self.calls.get_mut(&call) else { return };
+        if state.origin != softswitch {
+            return self.handle_transit_message(softswitch, call, message, out);
         }
         match message {
-            MessageToCaller::Answered if held.waiting => {
-                (held.waiting, held.stands) = (false, true);
-                let (class, took) = (held.class, self.now - held.first);
-                let summary = &mut self.summary[class];
-                if took <= CLASSES[class].target_setup {
-                    summary.in_time += 1;
+            MessageToCaller::Answered if state.waiting => {
+                (state.waiting, state.established) = (false, true);
+                let (class, elapsed) = (state.class, self.now - state.first_attempt_at);
+                let totals = &mut self.totals[class];
+                if elapsed <= CLASSES[class].target_setup {
+                    totals.in_time += 1;
                 } else {
-                    summary.late += 1;
+                    totals.late += 1;
                 }
             }
-            MessageToCaller::Ended(cause, _) if held.stands => {
-                held.stands = false;
-                self.summary[held.class].cut += u64::from(cause != 16);
-                self.forget_if_over(call);
+            MessageToCaller::Ended(cause, _) if state.established => {
+                state.established = false;
+                self.totals[state.class].cut += u64::from(cause != 16);
+                self.remove_if_ended(call);
+            }
+            MessageToCaller::Ended(_, retry_after) if state.waiting => {
+                self.end_failed_attempt(call, retry_after)
             }
-            MessageToCaller::Ended(_, wait) if held.waiting => self.unanswered(call, wait),
             _ => {}
         }
     }
 
-    /// A softswitch has answered for a call in transit: the tandem passes that back.
-    fn hear_transit(
+    /// Handles the message of a softswitch about a call in transit: the tandem passes it back along the route.
+    fn handle_transit_message(
         &mut self,
         softswitch: usize,
         call: u64,
         message: MessageToCaller,
         out: &mut Vec<Output>,
     ) {
-        let Some(held) = self.calls.get_mut(&call) else { return };
-        let Some(leg) = held.legs.iter_mut().find(|leg| leg.to == softswitch) else { return };
-        let back = leg.from;
+        let Some(state) = self.calls.get_mut(&call) else { return };
+        let Some(leg) = state.legs.iter_mut().find(|leg| leg.to == softswitch) else { return };
+        let previous = leg.from;
         match message {
             MessageToCaller::Answered => {
-                leg.phase = Phase::Standing;
-                self.say(back, softswitch, call, MessageFromExchange::Answered, out);
+                leg.phase = LegPhase::Established;
+                self.send_to_softswitch(previous, softswitch, call, MessageFromExchange::Answered, out);
             }
             MessageToCaller::Ended(cause, _) => {
-                let stood = leg.phase == Phase::Standing;
-                let message = if stood {
+                let was_established = leg.phase == LegPhase::Established;
+                let message = if was_established {
                     MessageFromExchange::Ended(cause, "", Duration::ZERO)
                 } else {
                     MessageFromExchange::Ended(34, "tandem_refused", Duration::ZERO)
                 };
-                self.drop_leg(call, back, softswitch, out);
-                self.say(back, softswitch, call, message, out);
+                self.release_leg(call, previous, softswitch, out);
+                self.send_to_softswitch(previous, softswitch, call, message, out);
             }
         }
     }
 
     // ---- exchanges ----
 
-    fn say(
+    /// Sends a message to a softswitch. If that is down, the end of a call is kept until it connects again and other
+    /// messages are dropped.
+    fn send_to_softswitch(
         &mut self,
         softswitch: usize,
         exchange: usize,
@@ -564,27 +607,28 @@
         message: MessageFromExchange,
         out: &mut Vec<Output>,
     ) {
-        if self.switches[softswitch] {
+        if self.softswitches[softswitch] {
             out.push(Output::FromExchange { softswitch, exchange, call, message });
         } else if matches!(message, MessageFromExchange::Ended(..)) {
-            self.owed.push((softswitch, exchange, call, message));
+            self.undelivered.push((softswitch, exchange, call, message));
         }
     }
 
-    fn way_up(&mut self, softswitch: usize, exchange: usize, out: &mut Vec<Output>) {
-        let (free, total) = self.groups[&pair(softswitch, exchange)];
-        self.say(softswitch, exchange, 0, MessageFromExchange::GroupState(free, total), out);
-        let (now, later) = std::mem::take(&mut self.owed)
+    /// A new connection gets the state of the group, then the ends of calls that could not be delivered before.
+    fn handle_exchange_connected(&mut self, softswitch: usize, exchange: usize, out: &mut Vec<Output>) {
+        let (free, total) = self.groups[&group_key(softswitch, exchange)];
+        self.send_to_softswitch(softswitch, exchange, 0, MessageFromExchange::GroupState(free, total), out);
+        let (ready, later) = std::mem::take(&mut self.undelivered)
             .into_iter()
             .partition(|(s, e, ..)| (*s, *e) == (softswitch, exchange));
-        self.owed = later;
-        let now: Vec<_> = now;
-        for (_, _, call, message) in now {
-            self.say(softswitch, exchange, call, message, out);
+        self.undelivered = later;
+        let ready: Vec<_> = ready;
+        for (_, _, call, message) in ready {
+            self.send_to_softswitch(softswitch, exchange, call, message, out);
         }
     }
 
-    fn hear_switch(
+    fn handle_message_to_exchange(
         &mut self,
         softswitch: usize,
         exchange: usize,
@@ -594,130 +638,144 @@
     ) {
         match message {
             MessageToExchange::SetUp => {
-                if let Some(message) = self.set_up(softswitch, exchange, call, out) {
-                    self.say(softswitch, exchange, call, message, out);
+                if let Some(message) = self.accept_set_up(softswitch, exchange, call, out) {
+                    self.send_to_softswitch(softswitch, exchange, call, message, out);
                 }
             }
             MessageToExchange::Release => {
-                let Some(leg) = self.drop_leg(call, softswitch, exchange, out) else { return };
-                if leg.phase != Phase::Queued && self.calls.get(&call).is_some_and(|c| c.dest != exchange) {
+                let Some(leg) = self.release_leg(call, softswitch, exchange, out) else { return };
+                if leg.phase != LegPhase::Queued && self.calls.get(&call).is_some_and(|c| c.dest != exchange)
+                {
                     out.push(Output::FromCaller {
                         softswitch: exchange,
                         call,
                         message: MessageFromCaller::HangUp,
                     });
                 }
-                self.forget_if_over(call);
+                self.remove_if_ended(call);
             }
             MessageToExchange::Probe => {
                 if !self.exchanges[exchange].stalled {
-                    self.say(softswitch, exchange, call, MessageFromExchange::ProbePassed, out);
+                    self.send_to_softswitch(
+                        softswitch,
+                        exchange,
+                        call,
+                        MessageFromExchange::ProbePassed,
+                        out,
+                    );
                 }
             }
         }
     }
 
-    /// A set-up has come; `Some` is why it is turned back at once.
-    fn set_up(
+    /// Accepts a set-up into the queue of an exchange, or returns the message that refuses it.
+    fn accept_set_up(
         &mut self,
         softswitch: usize,
         exchange: usize,
         call: u64,
         out: &mut Vec<Output>,
     ) -> Option<MessageFromExchange> {
-        let Some(held) = self.calls.get(&call) else {
-            // Its caller may have given up a moment ago; an id that was never there is another matter, but looks the same.
+        let Some(state) = self.calls.get(&call) else {
+            // Not counted as a violation: the caller may just have abandoned the call, and that cannot be told from an id
+            // that never existed.
             return Some(MessageFromExchange::Ended(47, "", Duration::ZERO));
         };
-        if held.legs.iter().any(|leg| leg.from == softswitch) {
-            self.broken += 1;
+        if state.legs.iter().any(|leg| leg.from == softswitch) {
+            self.protocol_violations += 1;
             return Some(MessageFromExchange::Ended(47, "", Duration::ZERO));
         }
-        let own_call = held.origin == softswitch || held.legs.iter().any(|leg| leg.to == softswitch);
-        if !own_call {
-            self.broken += 1;
+        let has_call = state.origin == softswitch || state.legs.iter().any(|leg| leg.to == softswitch);
+        if !has_call {
+            self.protocol_violations += 1;
             return Some(MessageFromExchange::Ended(47, "", Duration::ZERO));
         }
-        if !self.exchanges[softswitch].alive {
+        if !self.exchanges[softswitch].running {
             return Some(MessageFromExchange::Ended(102, "", Duration::ZERO));
         }
-        if self.groups[&pair(softswitch, exchange)].0 == 0 {
+        if self.groups[&group_key(softswitch, exchange)].0 == 0 {
             return Some(MessageFromExchange::Ended(34, "group_full", Duration::ZERO));
         }
-        let wait = self.wait(exchange);
-        if wait > FULL {
+        let wait = self.processor_wait(exchange);
+        if wait > MAX_PROCESSOR_WAIT {
             return Some(MessageFromExchange::Ended(34, "processor_full", wait));
         }
-        let leg = Leg { from: softswitch, to: exchange, phase: Phase::Queued };
-        if let Some(held) = self.calls.get_mut(&call) {
-            held.legs.push(leg);
+        let leg = Leg { from: softswitch, to: exchange, phase: LegPhase::Queued };
+        if let Some(state) = self.calls.get_mut(&call) {
+            state.legs.push(leg);
         }
-        self.take_circuits(softswitch, exchange, -1, out);
+        self.change_free_circuits(softswitch, exchange, -1, out);
         self.exchanges[exchange].queue.push_back((call, softswitch));
-        self.work_on(exchange);
+        self.start_next_job(exchange);
         None
     }
 
-    fn take_circuits(&mut self, a: usize, b: usize, more: i64, out: &mut Vec<Output>) {
-        let Some((free, total)) = self.groups.get_mut(&pair(a, b)) else { return };
-        *free = (i64::from(*free) + more).clamp(0, i64::from(*total)) as u32;
+    /// Changes the number of free circuits of a group and reports it to the softswitches at both ends.
+    fn change_free_circuits(&mut self, a: usize, b: usize, change: i64, out: &mut Vec<Output>) {
+        let Some((free, total)) = self.groups.get_mut(&group_key(a, b)) else { return };
+        *free = (i64::from(*free) + change).clamp(0, i64::from(*total)) as u32;
         let message = MessageFromExchange::GroupState(*free, *total);
         for (softswitch, exchange) in [(a, b), (b, a)] {
-            if self.switches[softswitch] && self.exchanges[exchange].alive {
+            if self.softswitches[softswitch] && self.exchanges[exchange].running {
                 out.push(Output::FromExchange { softswitch, exchange, call: 0, message });
             }
         }
     }
 
+    /// Speed of a processor as a fraction of its full speed. It grows linearly while the processor is cold.
     fn speed(&self, exchange: usize) -> f64 {
-        let held = &self.exchanges[exchange];
-        let age = held.born.map_or(1.0, |born| (self.now - born).as_secs_f64() / WARM.as_secs_f64());
-        (COLD + (1.0 - COLD) * age.min(1.0)) / held.factor
+        let state = &self.exchanges[exchange];
+        let warm =
+            state.started_at.map_or(1.0, |at| (self.now - at).as_secs_f64() / COLD_PERIOD.as_secs_f64());
+        (COLD_INITIAL_SPEED + (1.0 - COLD_INITIAL_SPEED) * warm.min(1.0)) / state.slow_factor
     }
 
-    fn wait(&self, exchange: usize) -> Duration {
-        let queue = self.exchanges[exchange].queue.len() as f64;
-        Duration::from_secs_f64(queue * self.work / self.speed(exchange))
+    /// Time until the processor has worked off its queue.
+    fn processor_wait(&self, exchange: usize) -> Duration {
+        let queued = self.exchanges[exchange].queue.len() as f64;
+        Duration::from_secs_f64(queued * self.setup_work_s / self.speed(exchange))
     }
 
-    /// Begins the next job, unless one is being done.
-    fn work_on(&mut self, exchange: usize) {
-        let work = self.work / self.speed(exchange);
-        let held = &mut self.exchanges[exchange];
-        if held.busy || held.stalled || !held.alive || held.queue.is_empty() {
+    /// Starts to process the next set-up, unless the processor is busy, stalled or not running.
+    fn start_next_job(&mut self, exchange: usize) {
+        let work_s = self.setup_work_s / self.speed(exchange);
+        let state = &mut self.exchanges[exchange];
+        if state.busy || state.stalled || !state.running || state.queue.is_empty() {
             return;
         }
-        held.busy = true;
-        held.job += 1;
-        let job = held.job;
-        self.set(self.now + Duration::from_secs_f64(work), Timer::Done(exchange, job));
+        state.busy = true;
+        state.job += 1;
+        let job = state.job;
+        self.set_timer(self.now + Duration::from_secs_f64(work_s), Timer::JobDone(exchange, job));
     }
 
-    fn job_done(&mut self, exchange: usize, job: u64, out: &mut Vec<Output>) {
-        let held = &mut self.exchanges[exchange];
-        if held.job != job || !held.busy || !held.alive {
+    /// The processor of an exchange has processed a set-up: the call is answered here, or forwarded to its destination
+    /// if this exchange is a tandem. A second tandem is refused.
+    fn finish_job(&mut self, exchange: usize, job: u64, out: &mut Vec<Output>) {
+        let state = &mut self.exchanges[exchange];
+        if state.job != job || !state.busy || !state.running {
             return;
         }
-        held.busy = false;
-        if held.stalled {
+        state.busy = false;
+        if state.stalled {
             return;
         }
-        let next = held.queue.pop_front();
-        self.work_on(exchange);
-        let Some((call, from)) = next else { return };
-        let Some(held) = self.calls.get_mut(&call) else { return };
-        let (dest, class, transit) = (held.dest, CLASSES[held.class], held.origin != from);
-        let Some(leg) = held.legs.iter_mut().find(|leg| (leg.from, leg.to) == (from, exchange)) else {
+        let set_up = state.queue.pop_front();
+        self.start_next_job(exchange);
+        let Some((call, from)) = set_up else { return };
+        let Some(state) = self.calls.get_mut(&call) else { return };
+        let (dest, class, transit) = (state.dest, CLASSES[state.class], state.origin != from);
+        let Some(leg) = state.legs.iter_mut().find(|leg| (leg.from, leg.to) == (from, exchange)) else {
             return;
         };
         if dest == exchange {
-            leg.phase = Phase::Standing;
-            let hold = -self.rng.random::<f64>().max(1e-12).ln() * class.mean_hold.as_secs_f64();
-            self.set(self.now + Duration::from_secs_f64(hold), Timer::End(call));
-            self.say(from, exchange, call, MessageFromExchange::Answered, out);
-        } else if transit || !self.switches[exchange] {
-            self.drop_leg(call, from, exchange, out);
-            self.say(
+            leg.phase = LegPhase::Established;
+            let hold_s = -self.rng.random::<f64>().max(1e-12).ln() * class.mean_hold.as_secs_f64();
+            self.set_timer(self.now + Duration::from_secs_f64(hold_s), Timer::CallEnd(call));
+            self.send_to_softswitch(from, exchange, call, MessageFromExchange::Answered, out);
+        } else if transit || !self.softswitches[exchange] {
+            self.release_leg(call, from, exchange, out);
+            self.send_to_softswitch(
                 from,
                 exchange,
                 call,
@@ -725,156 +783,170 @@
                 out,
             );
         } else {
-            leg.phase = Phase::Passed;
-            let left = class.abandon_after.mul_f64(TRY);
-            let message = MessageFromCaller::SetUp {
-                class: class.name,
-                remaining: left,
-                dest,
-                transit_from: Some(from),
-            };
+            leg.phase = LegPhase::Forwarded;
+            let remaining = class.abandon_after.mul_f64(ATTEMPT_TIMEOUT_FRACTION);
+            let message =
+                MessageFromCaller::SetUp { class: class.name, remaining, dest, transit_from: Some(from) };
             out.push(Output::FromCaller { softswitch: exchange, call, message });
         }
     }
 
-    /// A call has come to its end at its exchange.
-    fn end(&mut self, call: u64, out: &mut Vec<Output>) {
-        let Some(held) = self.calls.get(&call) else { return };
-        let dest = held.dest;
-        let at = held.legs.iter().find(|leg| leg.to == dest && leg.phase == Phase::Standing).copied();
-        if let Some(leg) = at {
-            self.drop_leg(call, leg.from, dest, out);
-            self.say(leg.from, dest, call, MessageFromExchange::Ended(16, "", Duration::ZERO), out);
-            self.forget_if_over(call);
+    /// Ends an established call normally, at its destination.
+    fn end_call(&mut self, call: u64, out: &mut Vec<Output>) {
+        let Some(state) = self.calls.get(&call) else { return };
+        let dest = state.dest;
+        let leg = state.legs.iter().find(|leg| leg.to == dest && leg.phase == LegPhase::Established).copied();
+        if let Some(leg) = leg {
+            self.release_leg(call, leg.from, dest, out);
+            self.send_to_softswitch(
+                leg.from,
+                dest,
+                call,
+                MessageFromExchange::Ended(16, "", Duration::ZERO),
+                out,
+            );
+            self.remove_if_ended(call);
         }
     }
 
-    /// Gives a leg and its circuit back.
-    fn drop_leg(&mut self, call: u64, from: usize, to: usize, out: &mut Vec<Output>) -> Option<Leg> {
-        let held = self.calls.get_mut(&call)?;
-        let place = held.legs.iter().position(|leg| (leg.from, leg.to) == (from, to))?;
-        let leg = held.legs.remove(place);
-        self.take_circuits(from, to, 1, out);
+    /// Removes a leg of a call and frees its circuit.
+    fn release_leg(&mut self, call: u64, from: usize, to: usize, out: &mut Vec<Output>) -> Option<Leg> {
+        let state = self.calls.get_mut(&call)?;
+        let index = state.legs.iter().position(|leg| (leg.from, leg.to) == (from, to))?;
+        let leg = state.legs.remove(index);
+        self.change_free_circuits(from, to, 1, out);
         Some(leg)
     }
 
-    fn forget_if_over(&mut self, call: u64) {
-        if self.calls.get(&call).is_some_and(|held| !held.waiting && !held.stands && held.legs.is_empty()) {
+    /// Removes a call once its caller has left and no leg remains.
+    fn remove_if_ended(&mut self, call: u64) {
+        if self
+            .calls
+            .get(&call)
+            .is_some_and(|state| !state.waiting && !state.established && state.legs.is_empty())
+        {
             self.calls.remove(&call);
         }
     }
 
     // ---- incidents ----
 
-    fn begin(&mut self, incident: ScriptedIncident, out: &mut Vec<Output>) {
+    fn begin_incident(&mut self, incident: ScriptedIncident, out: &mut Vec<Output>) {
         let node = incident.node;
         match incident.kind {
-            ScriptedKind::Die => self.die(node, out),
+            ScriptedKind::Die => self.stop_exchange(node, out),
             ScriptedKind::Replace => {
                 self.exchanges[node].draining = true;
-                self.list_changes();
+                self.publish_list();
             }
             ScriptedKind::Stall => self.exchanges[node].stalled = true,
-            ScriptedKind::Slow(factor) => self.exchanges[node].factor = factor,
-            ScriptedKind::Lag(extra) => self.lag = self.scenario.list_lag + extra,
+            ScriptedKind::Slow(factor) => self.exchanges[node].slow_factor = factor,
+            ScriptedKind::Lag(extra) => self.list_lag = self.scenario.list_lag + extra,
             ScriptedKind::Kill => out.push(Output::KillSoftswitch(node)),
             ScriptedKind::Clock(..) => {}
         }
     }
 
-    fn over(&mut self, incident: ScriptedIncident, out: &mut Vec<Output>) {
+    fn end_incident(&mut self, incident: ScriptedIncident, out: &mut Vec<Output>) {
         let node = incident.node;
         match incident.kind {
-            ScriptedKind::Die => self.start(node, out),
+            ScriptedKind::Die => self.start_exchange(node, out),
             ScriptedKind::Replace => {
-                self.die(node, out);
-                let held = &mut self.exchanges[node];
-                held.starts += 1;
-                held.name = format!("s-{node}-{}", held.starts);
-                held.draining = false;
-                self.start(node, out);
+                self.stop_exchange(node, out);
+                let state = &mut self.exchanges[node];
+                state.replacements += 1;
+                state.name = format!("s-{node}-{}", state.replacements);
+                state.draining = false;
+                self.start_exchange(node, out);
             }
             ScriptedKind::Stall => {
                 self.exchanges[node].stalled = false;
                 self.exchanges[node].busy = false;
-                self.set(self.now, Timer::GoOn(node));
+                self.set_timer(self.now, Timer::Resume(node));
             }
-            ScriptedKind::Slow(_) => self.exchanges[node].factor = 1.0,
-            ScriptedKind::Lag(_) => self.lag = self.scenario.list_lag,
+            ScriptedKind::Slow(_) => self.exchanges[node].slow_factor = 1.0,
+            ScriptedKind::Lag(_) => self.list_lag = self.scenario.list_lag,
             ScriptedKind::Kill => out.push(Output::StartSoftswitch(node)),
             ScriptedKind::Clock(..) => {}
         }
     }
 
-    /// The processor dies, and all calls that touch it are cut.
-    fn die(&mut self, node: usize, out: &mut Vec<Output>) {
-        let held = &mut self.exchanges[node];
-        (held.alive, held.busy, held.stalled) = (false, false, false);
-        held.queue.clear();
+    /// Stops the process of an exchange, which cuts all calls that pass it.
+    fn stop_exchange(&mut self, node: usize, out: &mut Vec<Output>) {
+        let state = &mut self.exchanges[node];
+        (state.running, state.busy, state.stalled) = (false, false, false);
+        state.queue.clear();
         out.push(Output::ExchangeDown(node));
         let mut calls: Vec<u64> = self.calls.keys().copied().collect();
         calls.sort_unstable();
         for call in calls {
             let legs = self.calls[&call].legs.clone();
             for leg in legs.iter().filter(|leg| leg.to == node || leg.from == node) {
-                self.drop_leg(call, leg.from, leg.to, out);
+                self.release_leg(call, leg.from, leg.to, out);
                 if leg.from == node {
-                    // What had come through it is over at the far end.
-                    self.say(node, leg.to, call, MessageFromExchange::Ended(41, "", Duration::ZERO), out);
+                    // The next exchange of the route ends a call that this one originated or forwarded.
+                    self.send_to_softswitch(
+                        node,
+                        leg.to,
+                        call,
+                        MessageFromExchange::Ended(41, "", Duration::ZERO),
+                        out,
+                    );
                 }
             }
-            self.forget_if_over(call);
+            self.remove_if_ended(call);
         }
-        self.list_changes();
+        self.publish_list();
     }
 
-    fn start(&mut self, node: usize, out: &mut Vec<Output>) {
-        let held = &mut self.exchanges[node];
-        held.alive = true;
-        held.born = Some(self.now);
+    fn start_exchange(&mut self, node: usize, out: &mut Vec<Output>) {
+        let state = &mut self.exchanges[node];
+        state.running = true;
+        state.started_at = Some(self.now);
         out.push(Output::ExchangeUp(node));
-        self.list_changes();
+        self.publish_list();
     }
 
-    fn list_changes(&mut self) {
-        let listed = self.exchanges.iter().enumerate().filter(|(_, held)| held.alive);
-        let listed = listed.map(|(exchange, held)| ListedExchange {
-            name: held.name.clone(),
+    /// Adds a version of the list; the resolver delivers it after the lag.
+    fn publish_list(&mut self) {
+        let listed = self.exchanges.iter().enumerate().filter(|(_, state)| state.running);
+        let listed = listed.map(|(exchange, state)| ListedExchange {
+            name: state.name.clone(),
             exchange,
-            started_at: held.born,
-            draining: held.draining,
+            started_at: state.started_at,
+            draining: state.draining,
         });
         self.lists.push((self.now, listed.collect()));
     }
 
-    fn lose_switch(&mut self, softswitch: usize, out: &mut Vec<Output>) {
-        self.switches[softswitch] = false;
+    fn handle_softswitch_down(&mut self, softswitch: usize, out: &mut Vec<Output>) {
+        self.softswitches[softswitch] = false;
         let mut calls: Vec<u64> = self.calls.keys().copied().collect();
         calls.sort_unstable();
         for call in calls {
-            let held = &self.calls[&call];
-            let waits = held.waiting && held.origin == softswitch;
-            for leg in held.legs.clone() {
-                // Its connections are closed, and with them the set-ups that were out on them.
-                if leg.from == softswitch && leg.phase != Phase::Standing {
-                    self.drop_leg(call, leg.from, leg.to, out);
-                    if leg.phase == Phase::Passed {
+            let state = &self.calls[&call];
+            let caller_waits = state.waiting && state.origin == softswitch;
+            for leg in state.legs.clone() {
+                // The connections of the softswitch are closed, which ends the set-ups that are open on them.
+                if leg.from == softswitch && leg.phase != LegPhase::Established {
+                    self.release_leg(call, leg.from, leg.to, out);
+                    if leg.phase == LegPhase::Forwarded {
                         out.push(Output::FromCaller {
                             softswitch: leg.to,
                             call,
                             message: MessageFromCaller::HangUp,
                         });
                     }
-                } else if leg.to == softswitch && leg.phase == Phase::Passed {
-                    self.drop_leg(call, leg.from, leg.to, out);
+                } else if leg.to == softswitch && leg.phase == LegPhase::Forwarded {
+                    self.release_leg(call, leg.from, leg.to, out);
                     let message = MessageFromExchange::Ended(34, "tandem_refused", Duration::ZERO);
-                    self.say(leg.from, softswitch, call, message, out);
+                    self.send_to_softswitch(leg.from, softswitch, call, message, out);
                 }
             }
-            if waits {
-                self.unanswered(call, Duration::ZERO);
+            if caller_waits {
+                self.end_failed_attempt(call, Duration::ZERO);
             } else {
-                self.forget_if_over(call);
+                self.remove_if_ended(call);
             }
         }
     }
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,4 +1,5 @@
-//! What is played: size, load and incidents, as a script in JSON that is checked before anything starts.
+//! Scenarios: size of the mesh, load and incidents. A scenario is built in or read from a script in JSON, which is
+//! validated before anything starts.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,26 +7,26 @@
 use thiserror::Error;
 use tinyjson::JsonValue;
 
-/// A class of call, as the platform describes it.
+/// Properties of a class of calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallClass {
-    /// Its name.
+    /// Name of the class.
     pub name: &'static str,
-    /// Its part of all calls.
+    /// Fraction of all calls that belong to the class.
     pub share: f64,
-    /// Mean time for which a call stands.
+    /// Mean duration of an established call.
     pub mean_hold: Duration,
-    /// Time within which it is wanted to stand.
+    /// Target set-up time.
     pub target_setup: Duration,
-    /// Time after which a caller gives up, all tries together.
+    /// Time after which a caller abandons the call, over all its attempts.
     pub abandon_after: Duration,
-    /// Worth of a call that stands in time.
+    /// Worth of a call that is established within the target set-up time.
     pub worth: f64,
-    /// Part of the worth left when it stands late.
+    /// Fraction of the worth that remains when the call is established later.
     pub late_worth_factor: f64,
 }
 
-/// The classes that every scenario has.
+/// The classes of all scenarios.
 pub const CLASSES: [CallClass; 3] = [
     CallClass {
         name: "unit-status",
@@ -56,27 +57,27 @@
     },
 ];
 
-/// What goes wrong.
+/// Kind of a scripted incident.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ScriptedKind {
-    /// The processor of an exchange dies and comes back cold.
+    /// The processor of an exchange dies; at the end of the incident it starts again, cold.
     Die,
-    /// Another process takes the exchange's place, cold: it drains, stops at the end, and one of another name starts.
+    /// The exchange drains; at the end of the incident it stops and a cold one with another name replaces it.
     Replace,
-    /// The processor takes set-ups and answers none.
+    /// The processor accepts set-ups but processes none.
     Stall,
-    /// The processor works so many times slower.
+    /// The processor is slower by this factor.
     Slow(f64),
-    /// The list is told later by so much more.
+    /// The resolver delivers changes of the list later by this additional time.
     Lag(Duration),
-    /// The softswitch of a node is killed and started again.
+    /// The softswitch of a node is killed; at the end of the incident it is started again.
     Kill,
-    /// The softswitch's records are stamped ahead of the time by so many ms, and drift by so many millionths.
+    /// The clock of the softswitch's records is ahead by this many ms and drifts by this many ppm, for the whole run.
     Clock(i64, i64),
 }
 
 impl ScriptedKind {
-    /// Its message in scripts.
+    /// Value of `kind` in scripts.
     pub fn label(&self) -> &'static str {
         match self {
             Self::Die => "die",
@@ -90,31 +91,31 @@
     }
 }
 
-/// One incident of a script.
+/// Incident of a scenario.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScriptedIncident {
-    /// When it begins.
+    /// When it begins, from the start of the run.
     pub at: Duration,
-    /// How long it lasts.
+    /// Time until it ends.
     pub duration: Duration,
-    /// At which node; of no meaning for a lag.
+    /// The node that it affects; ignored for [`ScriptedKind::Lag`].
     pub node: usize,
-    /// What it is.
+    /// What happens.
     pub kind: ScriptedKind,
 }
 
-/// What is played.
+/// Size of the mesh, load and incidents of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Nodes: an exchange and a softswitch each.
+    /// Number of nodes; each has an exchange and a softswitch.
     pub nodes: usize,
     /// How long calls are offered.
     pub duration: Duration,
-    /// Calls a second, first tries, over all nodes.
+    /// New calls per second over all nodes, without redials.
     pub calls_per_s: f64,
-    /// How long after a change the resolver tells of it.
+    /// Time until the resolver delivers a change of the list of exchanges.
     pub list_lag: Duration,
-    /// What goes wrong.
+    /// The incidents.
     pub incidents: Vec<ScriptedIncident>,
 }
 
@@ -130,75 +131,83 @@
     }
 }
 
-/// What is wrong with a script.
+/// Why a script or the name of a built-in scenario is rejected.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum ScenarioError {
-    /// It is not JSON.
+    /// The script is not JSON.
     #[error("not JSON: {0}")]
     InvalidJson(String),
-    /// A key is unknown, missing or makes no sense.
+    /// A key is unknown or missing, or its value is invalid.
     #[error("{key}: expected {expected}")]
     InvalidKey {
-        /// The key, with those that lead to it.
+        /// Path of the key.
         key: String,
         /// What was expected.
         expected: String,
     },
-    /// No scenario is built in under this name.
+    /// There is no built-in scenario of this name.
     #[error("no incident is built in under the name '{0}': expected one of {names}, or a file", names = Scenario::BUILT_IN_NAMES.join(", "))]
     UnknownName(String),
 }
 
 type Object = HashMap<String, JsonValue>;
 
-fn wrong(key: &str, expected: impl Into<String>) -> ScenarioError {
+fn invalid_key(key: &str, expected: impl Into<String>) -> ScenarioError {
     ScenarioError::InvalidKey { key: key.to_owned(), expected: expected.into() }
 }
 
+/// Reads a number within a range. `path` leads to the object, with a dot at its end unless it is empty.
 fn number(
     object: &Object,
-    at: &str,
+    path: &str,
     key: &str,
     range: (f64, f64),
-    usual: Option<f64>,
+    default: Option<f64>,
 ) -> Result<f64, ScenarioError> {
     let value = match object.get(key) {
-        None => usual,
+        None => default,
         Some(value) => value.get::<f64>().copied(),
     };
     let value = value.filter(|n| (range.0..=range.1).contains(n));
-    value.ok_or_else(|| wrong(&format!("{at}{key}"), format!("a number from {} to {}", range.0, range.1)))
+    value.ok_or_else(|| {
+        invalid_key(&format!("{path}{key}"), format!("a number from {} to {}", range.0, range.1))
+    })
 }
 
-fn only(object: &Object, at: &str, keys: &[&str]) -> Result<(), ScenarioError> {
+/// Rejects an object with an unknown key.
+fn check_keys(object: &Object, path: &str, keys: &[&str]) -> Result<(), ScenarioError> {
     let mut unknown: Vec<&String> = object.keys().filter(|key| !keys.contains(&key.as_str())).collect();
     unknown.sort();
     match unknown.first() {
-        Some(key) => Err(wrong(&format!("{at}{key}"), format!("one of {}", keys.join(", ")))),
+        Some(key) => Err(invalid_key(&format!("{path}{key}"), format!("one of {}", keys.join(", ")))),
         None => Ok(()),
     }
 }
 
 impl Scenario {
-    /// Scenarios that are built in.
+    /// Names of the built-in scenarios.
     pub const BUILT_IN_NAMES: [&str; 5] = ["calm", "death", "winter", "stall", "restart"];
 
-    /// A scenario that is built in, stretched to this length.
+    /// The built-in scenario of this name; its incidents are placed at fixed fractions of the duration.
     ///
     /// # Errors
-    /// If there is none of this name.
+    /// If there is no scenario of this name.
     pub fn built_in(name: &str, duration: Duration) -> Result<Self, ScenarioError> {
-        let part = |of: f64| duration.mul_f64(of);
-        let incident =
-            |at, length, node, kind| ScriptedIncident { at: part(at), duration: part(length), node, kind };
-        let extra = ScriptedKind::Lag(Duration::from_secs(6));
+        let time_at = |fraction: f64| duration.mul_f64(fraction);
+        let incident = |at, length, node, kind| ScriptedIncident {
+            at: time_at(at),
+            duration: time_at(length),
+            node,
+            kind,
+        };
+        let more_lag = ScriptedKind::Lag(Duration::from_secs(6));
         let incidents = match name {
             "calm" => vec![],
-            // A processor dies and returns cold while the list lags.
-            "death" => vec![incident(0.28, 0.35, 0, extra), incident(0.3, 0.2, 2, ScriptedKind::Die)],
+            // An exchange dies and returns cold while the list lags.
+            "death" => vec![incident(0.28, 0.35, 0, more_lag), incident(0.3, 0.2, 2, ScriptedKind::Die)],
             "winter" => vec![
                 incident(0.15, 0.2, 1, ScriptedKind::Slow(3.0)),
-                incident(0.38, 0.3, 0, extra),
+                incident(0.38, 0.3, 0, more_lag),
                 incident(0.4, 0.15, 2, ScriptedKind::Die),
                 incident(0.7, 0.15, 3, ScriptedKind::Replace),
             ],
@@ -212,80 +221,85 @@
         Ok(Self { duration, incidents, ..Self::default() })
     }
 
-    /// Reads a script.
+    /// Parses a script.
     ///
     /// # Errors
-    /// If it makes no sense; the error says which key, and what is expected.
+    /// If the script is invalid; the error names the key and what is expected.
     pub fn parse(text: &str) -> Result<Self, ScenarioError> {
         let json: JsonValue = text.parse().map_err(|error| ScenarioError::InvalidJson(format!("{error}")))?;
-        let top = json.get::<Object>().ok_or_else(|| wrong("the script", "an object"))?;
-        only(top, "", &["nodes", "seconds", "calls_per_s", "lag_ms", "incidents"])?;
-        let usual = Self::default();
-        let nodes = number(top, "", "nodes", (2.0, 32.0), Some(usual.nodes as f64))?;
+        let top = json.get::<Object>().ok_or_else(|| invalid_key("the script", "an object"))?;
+        check_keys(top, "", &["nodes", "seconds", "calls_per_s", "lag_ms", "incidents"])?;
+        let default = Self::default();
+        let nodes = number(top, "", "nodes", (2.0, 32.0), Some(default.nodes as f64))?;
         if nodes.fract() != 0.0 {
-            return Err(wrong("nodes", "a whole number"));
+            return Err(invalid_key("nodes", "a whole number"));
         }
-        let seconds = number(top, "", "seconds", (1.0, 86_400.0), Some(usual.duration.as_secs_f64()))?;
+        let seconds = number(top, "", "seconds", (1.0, 86_400.0), Some(default.duration.as_secs_f64()))?;
         let duration = Duration::from_secs_f64(seconds);
-        let calls_per_s = number(top, "", "calls_per_s", (0.0, 10_000.0), Some(usual.calls_per_s))?;
-        let lag = number(top, "", "lag_ms", (0.0, 60_000.0), Some(2_000.0))?;
+        let calls_per_s = number(top, "", "calls_per_s", (0.0, 10_000.0), Some(default.calls_per_s))?;
+        let lag_ms = number(top, "", "lag_ms", (0.0, 60_000.0), Some(2_000.0))?;
         let mut incidents = Vec::new();
         if let Some(list) = top.get("incidents") {
-            let list = list.get::<Vec<JsonValue>>().ok_or_else(|| wrong("incidents", "a list"))?;
+            let list = list.get::<Vec<JsonValue>>().ok_or_else(|| invalid_key("incidents", "a list"))?;
             for (i, entry) in list.iter().enumerate() {
-                let at = format!("incidents.{i}.");
-                let entry = entry.get::<Object>().ok_or_else(|| wrong(&at, "an object"))?;
-                incidents.push(read_incident(entry, &at, nodes as usize, seconds)?);
+                let path = format!("incidents.{i}.");
+                let entry = entry.get::<Object>().ok_or_else(|| invalid_key(&path, "an object"))?;
+                incidents.push(parse_incident(entry, &path, nodes as usize, seconds)?);
             }
         }
         Ok(Self {
             nodes: nodes as usize,
             duration,
             calls_per_s,
-            list_lag: Duration::from_secs_f64(lag / 1e3),
+            list_lag: Duration::from_secs_f64(lag_ms / 1e3),
             incidents,
         })
     }
 }
 
-fn read_incident(
+fn parse_incident(
     entry: &Object,
-    at: &str,
+    path: &str,
     nodes: usize,
     seconds: f64,
 ) -> Result<ScriptedIncident, ScenarioError> {
-    let usual = ["at", "for", "node", "kind"];
-    let more = |own: &[&'static str]| only(entry, at, &[&usual[..], own].concat());
-    let message =
+    let common_keys = ["at", "for", "node", "kind"];
+    let check_own_keys = |own: &[&'static str]| check_keys(entry, path, &[&common_keys[..], own].concat());
+    let label =
         entry.get("kind").and_then(|kind| kind.get::<String>()).map(String::as_str).unwrap_or_default();
-    let kind = match message {
+    let kind = match label {
         "die" => ScriptedKind::Die,
         "replace" => ScriptedKind::Replace,
         "stall" => ScriptedKind::Stall,
         "kill" => ScriptedKind::Kill,
-        "slow" => ScriptedKind::Slow(number(entry, at, "factor", (1.0, 100.0), None)?),
+        "slow" => ScriptedKind::Slow(number(entry, path, "factor", (1.0, 100.0), None)?),
         "lag" => ScriptedKind::Lag(Duration::from_secs_f64(
-            number(entry, at, "extra_ms", (0.0, 60_000.0), None)? / 1e3,
+            number(entry, path, "extra_ms", (0.0, 60_000.0), None)? / 1e3,
         )),
         "clock" => {
-            let ahead = number(entry, at, "ahead_ms", (-60_000.0, 60_000.0), None)?;
+            let ahead_ms = number(entry, path, "ahead_ms", (-60_000.0, 60_000.0), None)?;
             ScriptedKind::Clock(
-                ahead as i64,
-                number(entry, at, "drift_ppm", (-1_000.0, 1_000.0), Some(0.0))? as i64,
+                ahead_ms as i64,
+                number(entry, path, "drift_ppm", (-1_000.0, 1_000.0), Some(0.0))? as i64,
             )
         }
-        _ => return Err(wrong(&format!("{at}kind"), "one of die, replace, stall, slow, lag, kill, clock")),
+        _ => {
+            return Err(invalid_key(
+                &format!("{path}kind"),
+                "one of die, replace, stall, slow, lag, kill, clock",
+            ));
+        }
     };
-    more(match kind {
+    check_own_keys(match kind {
         ScriptedKind::Slow(_) => &["factor"],
         ScriptedKind::Lag(_) => &["extra_ms"],
         ScriptedKind::Clock(..) => &["ahead_ms", "drift_ppm"],
         _ => &[],
     })?;
     let needs_node = !matches!(kind, ScriptedKind::Lag(_));
-    let node = number(entry, at, "node", (0.0, nodes as f64 - 1.0), (!needs_node).then_some(0.0))?;
-    let begin = number(entry, at, "at", (0.0, seconds), None)?;
-    let duration = number(entry, at, "for", (0.0, seconds), Some(seconds - begin))?;
+    let node = number(entry, path, "node", (0.0, nodes as f64 - 1.0), (!needs_node).then_some(0.0))?;
+    let begin = number(entry, path, "at", (0.0, seconds), None)?;
+    let duration = number(entry, path, "for", (0.0, seconds), Some(seconds - begin))?;
     Ok(ScriptedIncident {
         at: Duration::from_secs_f64(begin),
         duration: Duration::from_secs_f64(duration),
