--- a/crates/emulator/src/loopback.rs
+++ b/crates/emulator/src/loopback.rs
@@ -1,7 +1,9 @@
-//! The world on loopback: sockets for its exchanges, callers and resolver, and real softswitches as child processes.
+//! The mesh on loopback: sockets for the exchanges, callers and resolvers of the model, and real softswitches as child
+//! processes.
 //!
-//! Nothing in the platform's protocol says which softswitch a connection comes from; the machine's address does. On
-//! loopback all have the same, so each softswitch has a resolver of its own and is told ports of its own.
+//! The platform's protocol doesn't say which softswitch a connection comes from; normally its source address does. On
+//! loopback all softswitches have the same address, so each one has its own resolver, which gives it its own port for each
+//! exchange.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::fs::{self, File};
@@ -25,25 +27,25 @@
 };
 use crate::scenario::{Scenario, ScriptedKind};
 
-/// A softswitch that has not said where it listens by then will not.
-const START: Duration = Duration::from_secs(8);
-/// The longest line of the protocol.
-const LONGEST: usize = 16 * 1024;
+/// Time in which the softswitches must have logged their addresses.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(8);
+/// Longest line of the JSON lines protocol.
+const MAX_LINE_BYTES: usize = 16 * 1024;
 
-/// What the mesh needs to know beside the scenario.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
-    /// What is played.
+    /// The scenario.
     pub scenario: Scenario,
-    /// Seed of the world and of the softswitches.
+    /// Seed of the model and of the softswitches.
     pub seed: u64,
-    /// The softswitch program.
+    /// Path of the softswitch program.
     pub program: PathBuf,
-    /// Folder for configurations, logs and records; it is made if it is not there.
+    /// Directory for configurations, logs and records; it is created if it is missing.
     pub directory: PathBuf,
 }
 
-/// What a connection is for.
+/// The two ends of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     /// From a softswitch to an exchange.
@@ -61,69 +63,73 @@
 }
 
 #[derive(Debug, Default)]
-struct Switch {
+struct SoftswitchProcess {
     child: Option<Child>,
     address: Option<SocketAddr>,
     operator: Option<SocketAddr>,
-    /// Its connection from callers.
-    link: Option<Token>,
+    /// The connection of its callers.
+    caller_conn: Option<Token>,
 }
 
-/// What a softswitch says in its log.
-enum Word {
+/// Line in the log of a softswitch that tells where it listens. `start` is the value of [`LoopbackMesh::starts`] when the
+/// process was launched.
+enum LogEvent {
     Serves { softswitch: usize, start: u32, address: SocketAddr },
     Operators { softswitch: usize, address: SocketAddr },
 }
 
-/// A world, its sockets and its softswitches. Dropping it ends what it started.
+/// A model with its sockets and softswitch processes. Dropping it kills the processes.
 pub struct LoopbackMesh {
     options: RunOptions,
     model: MeshModel,
-    began: Instant,
+    started_at: Instant,
     epoch: SystemTime,
     poll: Poll,
     events: Events,
-    tokens: usize,
-    /// Listeners of exchanges by the softswitch that they are for; none while the exchange's process is gone.
+    last_token: usize,
+    /// Listening socket of each exchange for each softswitch, by softswitch and exchange; none while the exchange is down.
     listeners: BTreeMap<(usize, usize), (Token, TcpListener)>,
     listener_tokens: HashMap<Token, (usize, usize)>,
-    ports: BTreeMap<(usize, usize), SocketAddr>,
+    /// Address of each of these sockets, which a restarted exchange uses again.
+    exchange_addresses: BTreeMap<(usize, usize), SocketAddr>,
+    /// Socket of the resolver of each softswitch; its token is the number of the softswitch.
     resolvers: Vec<UdpSocket>,
     connections: HashMap<Token, Connection>,
-    switches: Vec<Switch>,
+    softswitches: Vec<SoftswitchProcess>,
+    /// Number of softswitch processes launched.
     starts: u32,
-    words: Receiver<Word>,
-    speak: Sender<Word>,
-    out: VecDeque<Output>,
+    log_events: Receiver<LogEvent>,
+    log_sender: Sender<LogEvent>,
+    outputs: VecDeque<Output>,
 }
 
 impl LoopbackMesh {
     /// Opens all sockets, starts all softswitches and waits until they serve.
     ///
     /// # Errors
-    /// If something cannot be had, or a softswitch does not start; its log in the folder says why.
+    /// If a socket, file or process cannot be created, or a softswitch doesn't start; its log in the directory tells why.
     pub fn start(options: RunOptions) -> io::Result<Self> {
         fs::create_dir_all(&options.directory)?;
         let nodes = options.scenario.nodes;
         let poll = Poll::new()?;
-        let (speak, words) = channel();
+        let (log_sender, log_events) = channel();
         let mut mesh = Self {
             model: MeshModel::new(options.scenario.clone(), options.seed),
-            began: Instant::now(),
+            started_at: Instant::now(),
             epoch: SystemTime::now(),
             poll,
             events: Events::with_capacity(256),
-            tokens: nodes,
+            last_token: nodes,
             listeners: BTreeMap::new(),
             listener_tokens: HashMap::new(),
-            ports: BTreeMap::new(),
+            exchange_addresses: BTreeMap::new(),
             resolvers: Vec::new(),
             connections: HashMap::new(),
-            switches: (0..nodes).map(|_| Switch::default()).collect(),
+            softswitches: (0..nodes).map(|_| SoftswitchProcess::default()).collect(),
             starts: 0,
-            words,
-            speak,
-            out: VecDeque::new(),
+            log_events,
+            log_sender,
+            outputs: VecDeque::new(),
             options,
         };
         for softswitch in 0..nodes {
@@ -137,151 +143,160 @@
         for softswitch in 0..nodes {
             mesh.launch(softswitch)?;
         }
-        let until = Instant::now() + START;
+        let deadline = Instant::now() + STARTUP_TIMEOUT;
         while mesh
-            .switches
+            .softswitches
             .iter()
             .any(|softswitch| softswitch.address.is_none() || softswitch.operator.is_none())
         {
-            if Instant::now() > until || mesh.ended() {
+            if Instant::now() > deadline || mesh.any_exited() {
                 let logs = mesh.options.directory.display();
-                return Err(io::Error::other(format!("a softswitch does not start: see the logs in {logs}")));
+                return Err(io::Error::other(format!("a softswitch did not start: see the logs in {logs}")));
             }
-            mesh.turn(Duration::from_millis(20))?;
+            mesh.poll_once(Duration::from_millis(20))?;
         }
-        // The world's time begins with its first call.
-        (mesh.began, mesh.epoch) = (Instant::now(), SystemTime::now());
+        // The model's time starts once all softswitches serve.
+        (mesh.started_at, mesh.epoch) = (Instant::now(), SystemTime::now());
         Ok(mesh)
     }
 
-    /// The model.
+    /// The model of the mesh.
     pub fn model(&self) -> &MeshModel {
         &self.model
     }
 
-    /// The moment at which the world began.
+    /// Wall-clock time at which the model's time started.
     pub fn epoch(&self) -> SystemTime {
         self.epoch
     }
 
-    /// Time since then.
+    /// Time since the model's time started.
     pub fn elapsed(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// Where operators reach the softswitches.
+    /// Addresses of the operators' HTTP interfaces.
     pub fn operator_addresses(&self) -> Vec<SocketAddr> {
-        self.switches.iter().filter_map(|softswitch| softswitch.operator).collect()
+        self.softswitches.iter().filter_map(|softswitch| softswitch.operator).collect()
     }
 
-    /// Process ids of the softswitches that run.
+    /// Process ids of the running softswitches.
     pub fn process_ids(&self) -> Vec<u32> {
-        self.switches.iter().filter_map(|softswitch| Some(softswitch.child.as_ref()?.id())).collect()
+        self.softswitches.iter().filter_map(|softswitch| Some(softswitch.child.as_ref()?.id())).collect()
     }
 
-    /// Folder of the records.
+    /// Directory of the records.
     pub fn records_directory(&self) -> PathBuf {
         self.options.directory.join("records")
     }
 
-    /// Plays on for this long at most; says whether there is more to play.
+    /// Runs for this long at most; returns whether the run is still unfinished.
     ///
     /// # Errors
-    /// Of the system.
+    /// If a socket, file or process cannot be used.
     pub fn run(&mut self, limit: Duration) -> io::Result<bool> {
-        let until = Instant::now() + limit;
-        while Instant::now() < until && !self.model.is_finished() {
-            self.turn(until.saturating_duration_since(Instant::now()))?;
+        let deadline = Instant::now() + limit;
+        while Instant::now() < deadline && !self.model.is_finished() {
+            self.poll_once(deadline.saturating_duration_since(Instant::now()))?;
         }
         Ok(!self.model.is_finished())
     }
 
-    /// Tells the softswitches to end and waits until they have, for this long at most; those that have not by then are
-    /// killed. Calls that stand go on for up to 10 s.
+    /// Asks the softswitches to stop and waits for this long at most; those that still run are killed. A softswitch that
+    /// stops lets established calls continue for up to 10 s.
     pub fn shut_down(&mut self, limit: Duration) {
-        for softswitch in &self.switches {
+        for softswitch in &self.softswitches {
             if let Some(child) = &softswitch.child {
                 terminate(child);
             }
         }
-        let until = Instant::now() + limit;
-        while Instant::now() < until && self.switches.iter_mut().any(Switch::runs) {
-            // Calls that stand still end, and what has been said is still read.
-            let _ = self.turn(Duration::from_millis(20));
+        let deadline = Instant::now() + limit;
+        while Instant::now() < deadline && self.softswitches.iter_mut().any(SoftswitchProcess::is_running) {
+            // Established calls can still end, and messages are still read.
+            let _ = self.poll_once(Duration::from_millis(20));
         }
-        self.switches.iter_mut().for_each(Switch::kill);
+        self.softswitches.iter_mut().for_each(SoftswitchProcess::kill);
     }
 
-    /// Whether a softswitch has ended by itself.
-    fn ended(&mut self) -> bool {
-        self.switches.iter_mut().any(|softswitch| softswitch.child.is_some() && !softswitch.runs())
+    /// Whether a softswitch process has exited by itself.
+    fn any_exited(&mut self) -> bool {
+        self.softswitches.iter_mut().any(|softswitch| softswitch.child.is_some() && !softswitch.is_running())
     }
 
-    fn token(&mut self) -> Token {
-        self.tokens += 1;
-        Token(self.tokens)
+    fn next_token(&mut self) -> Token {
+        self.last_token += 1;
+        Token(self.last_token)
     }
 
     // ---- softswitches ----
 
+    /// Opens the listening socket of an exchange for a softswitch, at the address that it had before, if any.
     fn listen(&mut self, softswitch: usize, exchange: usize) -> io::Result<()> {
-        let address = self.ports.get(&(softswitch, exchange)).copied();
+        let address = self.exchange_addresses.get(&(softswitch, exchange)).copied();
         let mut listener = TcpListener::bind(address.unwrap_or(([127, 0, 0, 1], 0).into()))?;
-        self.ports.insert((softswitch, exchange), listener.local_addr()?);
-        let token = self.token();
+        self.exchange_addresses.insert((softswitch, exchange), listener.local_addr()?);
+        let token = self.next_token();
         self.poll.registry().register(&mut listener, token, Interest::READABLE)?;
         self.listener_tokens.insert(token, (softswitch, exchange));
         self.listeners.insert((softswitch, exchange), (token, listener));
         Ok(())
     }
 
-    /// Starts the process of a softswitch; where it listened before, it listens again.
+    /// Starts the process of a softswitch. A restarted one listens at the addresses that it had before.
     fn launch(&mut self, softswitch: usize) -> io::Result<()> {
         self.starts += 1;
-        let (start, folder) = (self.starts, self.options.directory.clone());
-        let (config, edge) =
-            (folder.join(format!("n{softswitch}.json")), folder.join(format!("n{softswitch}-edge.json")));
-        fs::write(&config, self.config(softswitch)?)?;
-        fs::write(&edge, self.edge(softswitch))?;
+        let (start, directory) = (self.starts, self.options.directory.clone());
+        let (config_path, edge_path) = (
+            directory.join(format!("n{softswitch}.json")),
+            directory.join(format!("n{softswitch}-edge.json")),
+        );
+        fs::write(&config_path, self.config_json(softswitch)?)?;
+        fs::write(&edge_path, self.edge_json(softswitch))?;
         let mut command = Command::new(&self.options.program);
-        command.args(["serve", "--log-format", "json", "--config"]).arg(&config).arg("--edge").arg(&edge);
+        command
+            .args(["serve", "--log-format", "json", "--config"])
+            .arg(&config_path)
+            .arg("--edge")
+            .arg(&edge_path);
         command.env_remove("NODE_CONFIG").env_remove("NODE_FD").env_remove("NODE_OPERATOR");
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         let mut child = command.spawn()?;
         let log =
-            File::options().create(true).append(true).open(folder.join(format!("n{softswitch}.log")))?;
-        if let Some(errors) = child.stderr.take() {
-            let speak = self.speak.clone();
-            let read = move || read_log(softswitch, start, BufReader::new(errors), log, &speak);
-            std::thread::Builder::new().name(format!("log of n{softswitch}")).spawn(read)?;
+            File::options().create(true).append(true).open(directory.join(format!("n{softswitch}.log")))?;
+        if let Some(stderr) = child.stderr.take() {
+            let log_sender = self.log_sender.clone();
+            let copy_log = move || read_log(softswitch, start, BufReader::new(stderr), log, &log_sender);
+            std::thread::Builder::new().name(format!("log of n{softswitch}")).spawn(copy_log)?;
         }
-        self.switches[softswitch].child = Some(child);
+        self.softswitches[softswitch].child = Some(child);
         Ok(())
     }
 
-    fn edge(&self, softswitch: usize) -> String {
+    fn edge_json(&self, softswitch: usize) -> String {
         let clock = self.options.scenario.incidents.iter().find_map(|incident| match incident.kind {
             ScriptedKind::Clock(ahead, drift) if incident.node == softswitch => Some((ahead, drift)),
             _ => None,
         });
-        let (ahead, drift) = clock.unwrap_or_default();
-        let directory = quoted(&self.records_directory().to_string_lossy());
+        let (ahead_ms, drift_ppm) = clock.unwrap_or_default();
+        let directory = json_string(&self.records_directory().to_string_lossy());
         format!(
             "{{\"records\":{{\"enabled\":true,\"directory\":{directory}}},\n\
-             \"rehearsal\":{{\"clock_ahead_ms\":{ahead},\"clock_drift_ppm\":{drift}}},\n\
+             \"rehearsal\":{{\"clock_ahead_ms\":{ahead_ms},\"clock_drift_ppm\":{drift_ppm}}},\n\
              \"fleet\":{{\"enabled\":true}}}}\n"
         )
     }
 
-    fn config(&mut self, softswitch: usize) -> io::Result<String> {
-        let now = self.began.elapsed();
+    fn config_json(&mut self, softswitch: usize) -> io::Result<String> {
+        let now = self.started_at.elapsed();
         let resolver = self.resolvers[softswitch].local_addr()?;
-        let any: SocketAddr = ([127, 0, 0, 1], 0).into();
-        let listen = self.switches[softswitch].address.unwrap_or(any);
-        let operator = self.switches[softswitch].operator.unwrap_or(any);
+        let any_port: SocketAddr = ([127, 0, 0, 1], 0).into();
+        let listen = self.softswitches[softswitch].address.unwrap_or(any_port);
+        let operator = self.softswitches[softswitch].operator.unwrap_or(any_port);
         let (serial, list) = self.model.list(now);
-        let list: Vec<(ListedExchange, SocketAddr)> =
-            list.iter().map(|entry| (entry.clone(), self.ports[&(softswitch, entry.exchange)])).collect();
+        let list: Vec<(ListedExchange, SocketAddr)> = list
+            .iter()
+            .map(|entry| (entry.clone(), self.exchange_addresses[&(softswitch, entry.exchange)]))
+            .collect();
         let node_count = self.options.scenario.nodes;
         let config = SoftswitchConfig {
             number: softswitch,
@@ -295,17 +310,18 @@
         Ok(config.to_json(serial, &list))
     }
 
-    // ---- the loop ----
+    // ---- event loop ----
 
-    fn input(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let mut out = Vec::new();
-        self.model.handle(self.began.elapsed(), input, &mut out);
-        self.out.extend(out);
+        self.model.handle(self.started_at.elapsed(), input, &mut out);
+        self.outputs.extend(out);
     }
 
-    fn turn(&mut self, limit: Duration) -> io::Result<()> {
-        let next = self.model.next_wake().map(|at| at.saturating_sub(self.began.elapsed()));
-        // Words of the logs come without waking this loop.
+    /// Waits for events for this long at most, handles them and carries out the effects that the model requests.
+    fn poll_once(&mut self, limit: Duration) -> io::Result<()> {
+        let next = self.model.next_wake().map(|at| at.saturating_sub(self.started_at.elapsed()));
+        // At most 20 ms: events from the logs don't wake the poll.
         let wait = next.unwrap_or(limit).min(limit).min(Duration::from_millis(20));
         match self.poll.poll(&mut self.events, Some(wait)) {
             Err(error) if error.kind() != ErrorKind::Interrupted => return Err(error),
@@ -314,46 +330,48 @@
         let tokens: Vec<Token> = self.events.iter().map(|event| event.token()).collect();
         for token in tokens {
             if token.0 < self.resolvers.len() {
-                self.resolve(token.0);
+                self.answer_queries(token.0);
             } else if let Some((softswitch, exchange)) = self.listener_tokens.get(&token).copied() {
                 self.accept(softswitch, exchange);
             } else {
                 self.read(token);
             }
         }
-        while let Ok(message) = self.words.try_recv() {
-            self.hear_log(message);
+        while let Ok(event) = self.log_events.try_recv() {
+            self.handle_log_event(event);
         }
-        for softswitch in 0..self.switches.len() {
-            if self.switches[softswitch].child.is_some() && !self.switches[softswitch].runs() {
-                self.lose_switch(softswitch);
+        for softswitch in 0..self.softswitches.len() {
+            if self.softswitches[softswitch].child.is_some() && !self.softswitches[softswitch].is_running() {
+                self.handle_exit(softswitch);
             }
         }
-        self.input(Input::Wake);
-        while let Some(output) = self.out.pop_front() {
+        self.handle_input(Input::Wake);
+        while let Some(output) = self.outputs.pop_front() {
             self.perform(output)?;
         }
         Ok(())
     }
 
-    fn hear_log(&mut self, message: Word) {
-        match message {
-            Word::Operators { softswitch, address } => self.switches[softswitch].operator = Some(address),
-            Word::Serves { softswitch, start, address } => {
-                if start + self.switches.len() as u32 > self.starts {
-                    self.switches[softswitch].address = Some(address);
-                    self.input(Input::SoftswitchUp(softswitch));
+    fn handle_log_event(&mut self, event: LogEvent) {
+        match event {
+            LogEvent::Operators { softswitch, address } => {
+                self.softswitches[softswitch].operator = Some(address)
+            }
+            LogEvent::Serves { softswitch, start, address } => {
+                if start + self.softswitches.len() as u32 > self.starts {
+                    self.softswitches[softswitch].address = Some(address);
+                    self.handle_input(Input::SoftswitchUp(softswitch));
                 }
             }
         }
     }
 
-    fn lose_switch(&mut self, softswitch: usize) {
-        self.switches[softswitch].child = None;
-        if let Some(token) = self.switches[softswitch].link.take() {
+    fn handle_exit(&mut self, softswitch: usize) {
+        self.softswitches[softswitch].child = None;
+        if let Some(token) = self.softswitches[softswitch].caller_conn.take() {
             self.connections.remove(&token);
         }
-        self.input(Input::SoftswitchDown(softswitch));
+        self.handle_input(Input::SoftswitchDown(softswitch));
     }
 
     fn perform(&mut self, output: Output) -> io::Result<()> {
@@ -361,27 +379,28 @@
             Output::FromCaller { softswitch, call, message } => self.send_caller(softswitch, call, &message),
             Output::FromExchange { softswitch, exchange, call, message } => {
                 let role = Role::Exchange { softswitch, exchange };
-                // On the newest: an older one may be about to be closed.
+                // On the newest connection: the softswitch may be about to close an older one.
                 let open =
-                    self.connections.iter().filter(|(_, held)| held.role == role).map(|(token, _)| *token);
+                    self.connections.iter().filter(|(_, conn)| conn.role == role).map(|(token, _)| *token);
                 if let Some(token) = open.max() {
                     self.send(token, &exchange_line(call, &message));
                 }
             }
             Output::ExchangeDown(exchange) => {
-                let gone = |role: &Role| matches!(role, Role::Exchange { exchange: e, .. } if *e == exchange);
-                self.connections.retain(|_, held| !gone(&held.role));
+                let is_lost =
+                    |role: &Role| matches!(role, Role::Exchange { exchange: e, .. } if *e == exchange);
+                self.connections.retain(|_, conn| !is_lost(&conn.role));
                 self.listeners.retain(|(_, e), _| *e != exchange);
                 self.listener_tokens.retain(|_, (_, e)| *e != exchange);
             }
             Output::ExchangeUp(exchange) => {
-                for softswitch in 0..self.switches.len() {
+                for softswitch in 0..self.softswitches.len() {
                     self.listen(softswitch, exchange)?;
                 }
             }
             Output::KillSoftswitch(softswitch) => {
-                self.switches[softswitch].kill();
-                self.lose_switch(softswitch);
+                self.softswitches[softswitch].kill();
+                self.handle_exit(softswitch);
             }
             Output::StartSoftswitch(softswitch) => self.launch(softswitch)?,
         }
@@ -391,14 +410,14 @@
     fn accept(&mut self, softswitch: usize, exchange: usize) {
         while let Some((_, listener)) = self.listeners.get(&(softswitch, exchange)) {
             let Ok((stream, _)) = listener.accept() else { return };
-            if self.keep(stream, Role::Exchange { softswitch, exchange }).is_some() {
-                self.input(Input::ExchangeConnected { softswitch, exchange });
+            if self.add_connection(stream, Role::Exchange { softswitch, exchange }).is_some() {
+                self.handle_input(Input::ExchangeConnected { softswitch, exchange });
             }
         }
     }
 
-    fn keep(&mut self, mut stream: TcpStream, role: Role) -> Option<Token> {
-        let token = self.token();
+    fn add_connection(&mut self, mut stream: TcpStream, role: Role) -> Option<Token> {
+        let token = self.next_token();
         let both = Interest::READABLE | Interest::WRITABLE;
         self.poll.registry().register(&mut stream, token, both).ok()?;
         let _ = stream.set_nodelay(true);
@@ -409,31 +428,35 @@
 
     fn send_caller(&mut self, softswitch: usize, call: u64, message: &MessageFromCaller) {
         let line = caller_line(call, message);
-        if self.switches[softswitch].link.is_none_or(|token| !self.connections.contains_key(&token)) {
-            let Some(address) = self.switches[softswitch].address else { return };
+        if self.softswitches[softswitch]
+            .caller_conn
+            .is_none_or(|token| !self.connections.contains_key(&token))
+        {
+            let Some(address) = self.softswitches[softswitch].address else { return };
             let Ok(stream) = TcpStream::connect(address) else { return };
-            self.switches[softswitch].link = self.keep(stream, Role::Caller { softswitch });
+            self.softswitches[softswitch].caller_conn =
+                self.add_connection(stream, Role::Caller { softswitch });
         }
-        if let Some(token) = self.switches[softswitch].link {
+        if let Some(token) = self.softswitches[softswitch].caller_conn {
             self.send(token, &line);
         }
     }
 
     fn send(&mut self, token: Token, line: &str) {
-        let Some(held) = self.connections.get_mut(&token) else { return };
-        held.unsent.extend_from_slice(line.as_bytes());
+        let Some(conn) = self.connections.get_mut(&token) else { return };
+        conn.unsent.extend_from_slice(line.as_bytes());
         self.write(token);
     }
 
     fn write(&mut self, token: Token) {
-        let Some(held) = self.connections.get_mut(&token) else { return };
-        while !held.unsent.is_empty() {
-            match held.stream.write(&held.unsent) {
+        let Some(conn) = self.connections.get_mut(&token) else { return };
+        while !conn.unsent.is_empty() {
+            match conn.stream.write(&conn.unsent) {
                 Ok(length) => {
-                    held.unsent.drain(..length);
+                    conn.unsent.drain(..length);
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                // The rest goes once the poll says that it may, or that the connection is up.
+                // The rest is written at the next event of the connection: when it is writable or established.
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
                     return;
                 }
@@ -447,15 +470,15 @@
 
     fn read(&mut self, token: Token) {
         self.write(token);
-        let Some(held) = self.connections.get_mut(&token) else { return };
-        let role = held.role;
+        let Some(conn) = self.connections.get_mut(&token) else { return };
+        let role = conn.role;
         let mut buffer = [0; 16 * 1024];
         let mut open = true;
         loop {
-            match held.stream.read(&mut buffer) {
+            match conn.stream.read(&mut buffer) {
                 Ok(0) => open = false,
                 Ok(length) => {
-                    held.unread.extend_from_slice(&buffer[..length]);
+                    conn.unread.extend_from_slice(&buffer[..length]);
                     continue;
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
@@ -465,34 +488,36 @@
             break;
         }
         let mut lines = Vec::new();
-        while let Some(end) = held.unread.iter().position(|byte| *byte == b'\n') {
-            lines.push(held.unread.drain(..=end).collect::<Vec<u8>>());
+        while let Some(end) = conn.unread.iter().position(|byte| *byte == b'\n') {
+            lines.push(conn.unread.drain(..=end).collect::<Vec<u8>>());
         }
-        if !open || held.unread.len() > LONGEST {
+        if !open || conn.unread.len() > MAX_LINE_BYTES {
             self.connections.remove(&token);
         }
         for line in lines {
-            if let Some(input) = std::str::from_utf8(&line).ok().and_then(|line| read_line(role, line)) {
-                self.input(input);
+            if let Some(input) = std::str::from_utf8(&line).ok().and_then(|line| parse_line(role, line)) {
+                self.handle_input(input);
             }
         }
     }
 
-    // ---- the resolver ----
+    // ---- resolver ----
 
-    fn resolve(&mut self, softswitch: usize) {
+    fn answer_queries(&mut self, softswitch: usize) {
         let mut query = [0; 512];
         while let Ok((length, from)) = self.resolvers[softswitch].recv_from(&mut query) {
             if length < 12 {
                 continue;
             }
             let id = u16::from_be_bytes([query[0], query[1]]);
-            let (now, epoch) = (self.began.elapsed(), self.epoch);
+            let (now, epoch) = (self.started_at.elapsed(), self.epoch);
             let (serial, list) = self.model.list(now);
-            let list: Vec<(ListedExchange, SocketAddr)> =
-                list.iter().map(|entry| (entry.clone(), self.ports[&(softswitch, entry.exchange)])).collect();
-            if let Ok(answer) = answer(id, serial, &list, epoch) {
-                // A lost answer is asked for again.
+            let list: Vec<(ListedExchange, SocketAddr)> = list
+                .iter()
+                .map(|entry| (entry.clone(), self.exchange_addresses[&(softswitch, entry.exchange)]))
+                .collect();
+            if let Ok(answer) = list_answer(id, serial, &list, epoch) {
+                // The softswitch repeats a query that gets no answer.
                 let _ = self.resolvers[softswitch].send_to(&answer, from);
             }
         }
@@ -501,12 +526,12 @@
 
 impl Drop for LoopbackMesh {
     fn drop(&mut self) {
-        self.switches.iter_mut().for_each(Switch::kill);
+        self.softswitches.iter_mut().for_each(SoftswitchProcess::kill);
     }
 }
 
-impl Switch {
-    fn runs(&mut self) -> bool {
+impl SoftswitchProcess {
+    fn is_running(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
@@ -521,13 +546,13 @@
 fn terminate(child: &Child) {
     let id = i32::try_from(child.id()).ok().and_then(rustix::process::Pid::from_raw);
     if let Some(id) = id {
-        // One that has ended by itself needs no order.
+        // The error is ignored: the process may have exited by itself.
         let _ = rustix::process::kill_process(id, rustix::process::Signal::TERM);
     }
 }
 
-/// Copies a log to its file and tells where the softswitch listens.
-fn read_log(softswitch: usize, start: u32, from: impl BufRead, mut to: File, speak: &Sender<Word>) {
+/// Copies the log of a softswitch to its file and reports the addresses at which the softswitch listens.
+fn read_log(softswitch: usize, start: u32, from: impl BufRead, mut to: File, events: &Sender<LogEvent>) {
     for line in from.lines().map_while(Result::ok) {
         let _ = writeln!(to, "{line}");
         let Ok(json) = line.parse::<JsonValue>() else { continue };
@@ -536,18 +561,18 @@
         };
         let message = field("message");
         let Some(address) = field("address").and_then(|address| address.parse().ok()) else { continue };
-        let message = match message.as_deref() {
-            Some("serves") => Word::Serves { softswitch, start, address },
-            Some("operators") => Word::Operators { softswitch, address },
+        let event = match message.as_deref() {
+            Some("serves") => LogEvent::Serves { softswitch, start, address },
+            Some("operators") => LogEvent::Operators { softswitch, address },
             _ => continue,
         };
-        if speak.send(message).is_err() {
+        if events.send(event).is_err() {
             return;
         }
     }
 }
 
-fn quoted(text: &str) -> String {
+fn json_string(text: &str) -> String {
     JsonValue::String(text.to_owned()).stringify().unwrap_or_default()
 }
 
@@ -589,8 +614,8 @@
     }
 }
 
-/// What a line from a softswitch means; `None` for what means nothing here.
-fn read_line(role: Role, line: &str) -> Option<Input> {
+/// Parses a line from a softswitch; `None` if the model doesn't use it.
+fn parse_line(role: Role, line: &str) -> Option<Input> {
     let json = line.parse::<JsonValue>().ok()?;
     let top = json.get::<HashMap<String, JsonValue>>()?;
     let text = |key: &str| top.get(key)?.get::<String>().map(String::as_str);
@@ -627,8 +652,8 @@
     }
 }
 
-/// The whole list as an answer of the resolver.
-fn answer(
+/// The answer of the resolver with the complete list of exchanges.
+fn list_answer(
     id: u16,
     serial: u32,
     list: &[(ListedExchange, SocketAddr)],
@@ -660,8 +685,9 @@
     packet.build_bytes_vec()
 }
 
-/// A program of this name that lies beside another one, or a folder above it, as cargo puts those of a workspace.
+/// The program of this name in the directory of another program or in its parent directory, where cargo puts the programs
+/// of a workspace.
 pub fn find_program(program: &Path, name: &str) -> Option<PathBuf> {
-    let folder = program.parent()?;
-    [folder, folder.parent()?].iter().map(|folder| folder.join(name)).find(|path| path.is_file())
+    let directory = program.parent()?;
+    [directory, directory.parent()?].iter().map(|directory| directory.join(name)).find(|path| path.is_file())
 }
