--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,11 +1,12 @@
-//! A stand-in for the mesh round the softswitches, written from the platform's protocol: exchanges with a processor of
-//! one line, groups of circuits shared by both ends, callers by class who dial again, the resolver that lags, and
-//! incidents from a script.
+//! Emulator of the mesh around the softswitches, written from the platform's protocol: exchanges whose processor
+//! handles one set-up at a time, groups of circuits shared by both ends, callers of several classes that redial, a resolver that lags, and
+//! scripted incidents.
 //!
-//! [`MeshModel`] is a pure model: it is handed the time and what softswitches say, and asked for what they hear. The same
-//! seed and the same words give the same world. [`loopback`] puts sockets on loopback round it, for real softswitches.
+//! [`MeshModel`] is a pure model in virtual time: its caller passes the time and the messages of the softswitches, and gets
+//! the messages to deliver to them. The same seed and the same inputs give the same outputs. [`loopback`] runs the model
+//! with sockets on loopback and real softswitch processes.
 //!
-//! What it leaves out: the work that a call costs its own exchange, and set-ups that the network repeats.
+//! Not modelled: the work that a call costs its own exchange, and retransmission of set-ups by the network.
 
 mod config;
 pub mod loopback;
--- a/crates/emulator/src/loopback.rs
+++ b/crates/emulator/src/loopback.rs
@@ -65,14 +65,16 @@
 #[derive(Debug, Default)]
 struct SoftswitchProcess {
     child: Option<Child>,
+    /// Address for calls, once it has been logged.
     address: Option<SocketAddr>,
-    operator: Option<SocketAddr>,
+    /// Address of the operators' HTTP interface, once it has been logged.
+    operator_address: Option<SocketAddr>,
     /// The connection of its callers.
     caller_conn: Option<Token>,
 }
 
-/// Line in the log of a softswitch that tells where it listens. `start` is the value of [`LoopbackMesh::starts`] when the
-/// process was launched.
+/// Address from the log of a softswitch. The log messages are `serves` and `operators`; `start` counts the processes launched
+/// up to this one.
 enum LogEvent {
     Serves { softswitch: usize, start: u32, address: SocketAddr },
     Operators { softswitch: usize, address: SocketAddr },
@@ -147,7 +149,7 @@
         while mesh
             .softswitches
             .iter()
-            .any(|softswitch| softswitch.address.is_none() || softswitch.operator.is_none())
+            .any(|softswitch| softswitch.address.is_none() || softswitch.operator_address.is_none())
         {
             if Instant::now() > deadline || mesh.any_exited() {
                 let logs = mesh.options.directory.display();
@@ -177,7 +179,7 @@
 
     /// Addresses of the operators' HTTP interfaces.
     pub fn operator_addresses(&self) -> Vec<SocketAddr> {
-        self.softswitches.iter().filter_map(|softswitch| softswitch.operator).collect()
+        self.softswitches.iter().filter_map(|softswitch| softswitch.operator_address).collect()
     }
 
     /// Process ids of the running softswitches.
@@ -242,7 +244,8 @@
         Ok(())
     }
 
-    /// Starts the process of a softswitch. A restarted one listens at the addresses that it had before.
+    /// Writes the configuration of a softswitch and starts its process. A restarted one listens at the addresses that it
+    /// had before.
     fn launch(&mut self, softswitch: usize) -> io::Result<()> {
         self.starts += 1;
         let (start, directory) = (self.starts, self.options.directory.clone());
@@ -251,7 +254,7 @@
             directory.join(format!("n{softswitch}-edge.json")),
         );
         fs::write(&config_path, self.config_json(softswitch)?)?;
-        fs::write(&edge_path, self.edge_json(softswitch))?;
+        fs::write(&edge_path, self.edge_settings_json(softswitch))?;
         let mut command = Command::new(&self.options.program);
         command
             .args(["serve", "--log-format", "json", "--config"])
@@ -272,9 +275,11 @@
         Ok(())
     }
 
-    fn edge_json(&self, softswitch: usize) -> String {
+    fn edge_settings_json(&self, softswitch: usize) -> String {
         let clock = self.options.scenario.incidents.iter().find_map(|incident| match incident.kind {
-            ScriptedKind::Clock(ahead, drift) if incident.node == softswitch => Some((ahead, drift)),
+            ScriptedKind::Clock(ahead_ms, drift_ppm) if incident.node == softswitch => {
+                Some((ahead_ms, drift_ppm))
+            }
             _ => None,
         });
         let (ahead_ms, drift_ppm) = clock.unwrap_or_default();
@@ -291,7 +296,7 @@
         let resolver = self.resolvers[softswitch].local_addr()?;
         let any_port: SocketAddr = ([127, 0, 0, 1], 0).into();
         let listen = self.softswitches[softswitch].address.unwrap_or(any_port);
-        let operator = self.softswitches[softswitch].operator.unwrap_or(any_port);
+        let operator = self.softswitches[softswitch].operator_address.unwrap_or(any_port);
         let (serial, list) = self.model.list(now);
         let list: Vec<(ListedExchange, SocketAddr)> = list
             .iter()
@@ -347,7 +352,7 @@
         }
         self.handle_input(Input::Wake);
         while let Some(output) = self.outputs.pop_front() {
-            self.perform(output)?;
+            self.perform_output(output)?;
         }
         Ok(())
     }
@@ -355,9 +360,11 @@
     fn handle_log_event(&mut self, event: LogEvent) {
         match event {
             LogEvent::Operators { softswitch, address } => {
-                self.softswitches[softswitch].operator = Some(address)
+                self.softswitches[softswitch].operator_address = Some(address)
             }
             LogEvent::Serves { softswitch, start, address } => {
+                // If at least as many processes as there are softswitches were launched since, the line is ignored: it is
+                // taken for one of a process that has been replaced.
                 if start + self.softswitches.len() as u32 > self.starts {
                     self.softswitches[softswitch].address = Some(address);
                     self.handle_input(Input::SoftswitchUp(softswitch));
@@ -366,6 +373,7 @@
         }
     }
 
+    /// Handles the end of a softswitch process, expected or not.
     fn handle_exit(&mut self, softswitch: usize) {
         self.softswitches[softswitch].child = None;
         if let Some(token) = self.softswitches[softswitch].caller_conn.take() {
@@ -374,15 +382,17 @@
         self.handle_input(Input::SoftswitchDown(softswitch));
     }
 
-    fn perform(&mut self, output: Output) -> io::Result<()> {
+    fn perform_output(&mut self, output: Output) -> io::Result<()> {
         match output {
-            Output::FromCaller { softswitch, call, message } => self.send_caller(softswitch, call, &message),
+            Output::FromCaller { softswitch, call, message } => {
+                self.send_as_caller(softswitch, call, &message)
+            }
             Output::FromExchange { softswitch, exchange, call, message } => {
                 let role = Role::Exchange { softswitch, exchange };
                 // On the newest connection: the softswitch may be about to close an older one.
-                let open =
+                let tokens =
                     self.connections.iter().filter(|(_, conn)| conn.role == role).map(|(token, _)| *token);
-                if let Some(token) = open.max() {
+                if let Some(token) = tokens.max() {
                     self.send(token, &exchange_line(call, &message));
                 }
             }
@@ -418,15 +428,16 @@
 
     fn add_connection(&mut self, mut stream: TcpStream, role: Role) -> Option<Token> {
         let token = self.next_token();
-        let both = Interest::READABLE | Interest::WRITABLE;
-        self.poll.registry().register(&mut stream, token, both).ok()?;
+        let interests = Interest::READABLE | Interest::WRITABLE;
+        self.poll.registry().register(&mut stream, token, interests).ok()?;
         let _ = stream.set_nodelay(true);
         let (unread, unsent) = (Vec::new(), Vec::new());
         self.connections.insert(token, Connection { role, stream, unread, unsent });
         Some(token)
     }
 
-    fn send_caller(&mut self, softswitch: usize, call: u64, message: &MessageFromCaller) {
+    /// Sends a message of a caller on the connection of all callers of this softswitch; opens it if needed.
+    fn send_as_caller(&mut self, softswitch: usize, call: u64, message: &MessageFromCaller) {
         let line = caller_line(call, message);
         if self.softswitches[softswitch]
             .caller_conn
@@ -503,9 +514,11 @@
 
     // ---- resolver ----
 
+    /// Answers every query of a softswitch with the complete list, whatever it asks for.
     fn answer_queries(&mut self, softswitch: usize) {
         let mut query = [0; 512];
         while let Ok((length, from)) = self.resolvers[softswitch].recv_from(&mut query) {
+            // Shorter than a DNS header.
             if length < 12 {
                 continue;
             }
@@ -598,10 +611,10 @@
         MessageFromExchange::Answered => {
             format!("{{\"kind\":\"running\",\"uid\":\"{call:016x}\",\"meta\":{{}},\"body\":\"v=0\\r\\n\"}}\n")
         }
-        MessageFromExchange::Ended(cause, note, waited) => {
+        MessageFromExchange::Ended(cause, note, wait) => {
             let meta = match *note {
                 "" => String::new(),
-                note => format!("\"note\":\"{note}\",\"waited\":\"{}\"", waited.as_millis()),
+                note => format!("\"note\":\"{note}\",\"waited\":\"{}\"", wait.as_millis()),
             };
             format!("{{\"kind\":\"stop\",\"uid\":\"{call:016x}\",\"meta\":{{{meta}}},\"reason\":{cause}}}\n")
         }
@@ -637,13 +650,14 @@
                 "stop" => {
                     let cause = top.get("reason")?.get::<f64>().copied()? as u8;
                     let meta = top.get("meta").and_then(|meta| meta.get::<HashMap<String, JsonValue>>());
-                    let wait = meta.and_then(|meta| match meta.get("wait")? {
+                    let wait_ms = meta.and_then(|meta| match meta.get("wait")? {
                         JsonValue::Number(ms) => Some(*ms),
                         JsonValue::String(ms) => ms.parse().ok(),
                         _ => None,
                     });
-                    let wait = Duration::from_secs_f64(wait.unwrap_or(0.0).clamp(0.0, 60_000.0) / 1e3);
-                    MessageToCaller::Ended(cause, wait)
+                    let retry_after =
+                        Duration::from_secs_f64(wait_ms.unwrap_or(0.0).clamp(0.0, 60_000.0) / 1e3);
+                    MessageToCaller::Ended(cause, retry_after)
                 }
                 _ => return None,
             };
--- a/crates/emulator/tests/model.rs
+++ b/crates/emulator/tests/model.rs
@@ -1,4 +1,4 @@
-//! The model by itself, with the plainest softswitch there is: direct or not at all.
+//! Tests of the model without sockets, with minimal softswitches that send every call on the direct route only.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,18 +8,18 @@
     Scenario, ScriptedIncident, ScriptedKind,
 };
 
-/// What came of a play: all that was put out, with its time, and the free circuits as last told.
-struct Play {
+/// A finished run: the model, all outputs with their time, and the last reported state of each group (free, size).
+struct Run {
     model: MeshModel,
-    out: Vec<(Duration, Output)>,
-    free: BTreeMap<(usize, usize), (u32, u32)>,
+    outputs: Vec<(Duration, Output)>,
+    groups: BTreeMap<(usize, usize), (u32, u32)>,
 }
 
-/// Plays a scenario with softswitches that send every call direct and pass on what they hear.
-fn play(scenario: Scenario, seed: u64) -> Play {
+/// Runs a scenario with softswitches that send every call on the direct route and pass the answers on.
+fn run(scenario: Scenario, seed: u64) -> Run {
     let nodes = scenario.nodes;
-    let mut play = Play { model: MeshModel::new(scenario, seed), out: Vec::new(), free: BTreeMap::new() };
-    let mut dest: BTreeMap<u64, usize> = BTreeMap::new();
+    let mut run = Run { model: MeshModel::new(scenario, seed), outputs: Vec::new(), groups: BTreeMap::new() };
+    let mut dests: BTreeMap<u64, usize> = BTreeMap::new();
     let mut inputs: Vec<Input> = (0..nodes).map(Input::SoftswitchUp).collect();
     for softswitch in 0..nodes {
         inputs.extend(
@@ -29,12 +29,12 @@
         );
     }
     let mut now = Duration::ZERO;
-    while !play.model.is_finished() {
+    while !run.model.is_finished() {
         let mut out = Vec::new();
         for input in inputs.drain(..) {
-            play.model.handle(now, input, &mut out);
+            run.model.handle(now, input, &mut out);
         }
-        play.model.handle(now, Input::Wake, &mut out);
+        run.model.handle(now, Input::Wake, &mut out);
         for output in out {
             match output {
                 Output::FromCaller {
@@ -42,7 +42,7 @@
                     call,
                     message: MessageFromCaller::SetUp { dest: to, .. },
                 } => {
-                    dest.insert(call, to);
+                    dests.insert(call, to);
                     inputs.push(Input::ToExchange {
                         softswitch,
                         exchange: to,
@@ -51,7 +51,7 @@
                     });
                 }
                 Output::FromCaller { softswitch, call, message: MessageFromCaller::HangUp } => {
-                    let exchange = dest[&call];
+                    let exchange = dests[&call];
                     inputs.push(Input::ToExchange {
                         softswitch,
                         exchange,
@@ -80,17 +80,17 @@
                     message: MessageFromExchange::GroupState(free, total),
                     ..
                 } => {
-                    play.free.insert((softswitch, exchange), (free, total));
+                    run.groups.insert((softswitch, exchange), (free, total));
                 }
                 _ => {}
             }
-            play.out.push((now, output));
+            run.outputs.push((now, output));
         }
         if inputs.is_empty() {
-            now = play.model.next_wake().unwrap_or(now + Duration::from_secs(1)).max(now);
+            now = run.model.next_wake().unwrap_or(now + Duration::from_secs(1)).max(now);
         }
     }
-    play
+    run
 }
 
 fn scenario(incidents: Vec<ScriptedIncident>) -> Scenario {
@@ -102,65 +102,67 @@
 }
 
 #[test]
-fn a_calm_day_serves_nearly_all_and_gives_every_circuit_back() {
-    let play = play(scenario(vec![]), 1);
-    assert!(play.model.service_level() > 0.95, "{}", play.model.service_level());
-    let offered: u64 = play.model.totals().iter().map(|s| s.offered).sum();
-    assert!((1_400..1_800).contains(&offered), "40 a second for 40 s: {offered}");
-    assert_eq!(play.model.protocol_violations(), 0);
-    let left: u32 = play.free.values().map(|(free, total)| total - free).sum();
+fn run_without_incidents_serves_almost_all_calls_and_frees_their_circuits() {
+    let run = run(scenario(vec![]), 1);
+    assert!(run.model.service_level() > 0.95, "{}", run.model.service_level());
+    let offered: u64 = run.model.totals().iter().map(|s| s.offered).sum();
+    assert!((1_400..1_800).contains(&offered), "40 calls per second for 40 s: {offered}");
+    assert_eq!(run.model.protocol_violations(), 0);
+    let circuits_in_use: u32 = run.groups.values().map(|(free, total)| total - free).sum();
     let ended = |(_, out): &&(Duration, Output)| {
         matches!(out, Output::FromExchange { message: MessageFromExchange::Ended(16, ..), .. })
     };
     let answered = |(_, out): &&(Duration, Output)| {
         matches!(out, Output::FromExchange { message: MessageFromExchange::Answered, .. })
     };
-    let standing = play.out.iter().filter(answered).count() - play.out.iter().filter(ended).count();
-    // Both ends of a group are told.
-    assert_eq!(left as usize, 2 * standing, "circuits are held by the calls that stand, and by nothing else");
+    let established = run.outputs.iter().filter(answered).count() - run.outputs.iter().filter(ended).count();
+    // Each group is reported to both ends.
+    assert_eq!(circuits_in_use as usize, 2 * established, "only established calls hold circuits");
 }
 
 #[test]
-fn the_same_seed_is_the_same_day() {
+fn same_seed_gives_the_same_run() {
     let incidents = vec![incident(10, 5, 2, ScriptedKind::Die), incident(20, 5, 1, ScriptedKind::Slow(3.0))];
-    let [one, two] = [(); 2].map(|()| play(scenario(incidents.clone()), 5).out);
-    assert_eq!(one, two);
-    assert_ne!(one, play(scenario(incidents), 6).out);
+    let [first, second] = [(); 2].map(|()| run(scenario(incidents.clone()), 5).outputs);
+    assert_eq!(first, second);
+    assert_ne!(first, run(scenario(incidents), 6).outputs);
 }
 
 #[test]
-fn a_death_cuts_what_touches_it_and_the_list_tells_late() {
-    let kinds = vec![
+fn dead_exchange_cuts_its_calls_and_the_list_changes_late() {
+    let incidents = vec![
         incident(10, 8, 2, ScriptedKind::Die),
         incident(9, 20, 0, ScriptedKind::Lag(Duration::from_secs(6))),
     ];
-    let mut play = play(scenario(kinds), 3);
-    let at = |wanted: &Output| play.out.iter().find(|(_, out)| out == wanted).map(|(at, _)| at.as_secs());
-    assert_eq!((at(&Output::ExchangeDown(2)), at(&Output::ExchangeUp(2))), (Some(10), Some(18)));
-    let quiet = |(at, out): &(Duration, Output)| {
+    let mut run = run(scenario(incidents), 3);
+    let time_of =
+        |wanted: &Output| run.outputs.iter().find(|(_, out)| out == wanted).map(|(at, _)| at.as_secs());
+    assert_eq!((time_of(&Output::ExchangeDown(2)), time_of(&Output::ExchangeUp(2))), (Some(10), Some(18)));
+    let answers_while_down = |(at, out): &(Duration, Output)| {
         (10..18).contains(&at.as_secs())
             && matches!(out, Output::FromExchange { exchange: 2, message: MessageFromExchange::Answered, .. })
     };
-    assert!(!play.out.iter().any(quiet), "the dead say nothing");
-    let cut: u64 = play.model.totals().iter().map(|s| s.cut).sum();
-    assert!(cut > 0, "calls that came through it are told at their far ends");
-    // Asked from the start on, with the lag that holds at the end: first the whole list, then without, then reborn.
-    let (serial, list) = play.model.list(Duration::from_secs(41));
+    assert!(!run.outputs.iter().any(answers_while_down), "a dead exchange answers nothing");
+    let cut: u64 = run.model.totals().iter().map(|s| s.cut).sum();
+    assert!(cut > 0, "calls over the dead exchange are cut at their other ends");
+    // The lag is back to normal, so all three versions have been delivered: complete, without the dead exchange, and with
+    // it started again.
+    let (serial, list) = run.model.list(Duration::from_secs(41));
     assert_eq!((serial, list.len()), (3, 5));
     assert_eq!(list[2].started_at, Some(Duration::from_secs(18)));
 }
 
 #[test]
-fn a_stall_answers_nothing_and_a_slow_processor_turns_away() {
-    let stalled = play(scenario(vec![incident(10, 10, 2, ScriptedKind::Stall)]), 3);
-    let said = |(at, out): &(Duration, Output)| {
+fn stalled_processor_answers_nothing_and_slow_processor_refuses_set_ups() {
+    let stalled = run(scenario(vec![incident(10, 10, 2, ScriptedKind::Stall)]), 3);
+    let answers_while_stalled = |(at, out): &(Duration, Output)| {
         let answer =
             matches!(out, Output::FromExchange { exchange: 2, message: MessageFromExchange::Answered, .. });
         answer && (Duration::from_millis(10_001)..Duration::from_secs(20)).contains(at)
     };
-    assert!(!stalled.out.iter().any(said));
-    let slow = play(scenario(vec![incident(5, 30, 2, ScriptedKind::Slow(12.0))]), 3);
-    let full = |(_, out): &(Duration, Output)| {
+    assert!(!stalled.outputs.iter().any(answers_while_stalled));
+    let slow = run(scenario(vec![incident(5, 30, 2, ScriptedKind::Slow(12.0))]), 3);
+    let refuses_as_full = |(_, out): &(Duration, Output)| {
         matches!(
             out,
             Output::FromExchange {
@@ -170,46 +172,49 @@
             }
         )
     };
-    assert!(slow.out.iter().any(full));
+    assert!(slow.outputs.iter().any(refuses_as_full));
 }
 
 #[test]
-fn a_replaced_exchange_drains_first_and_has_another_name() {
-    let mut play = play(scenario(vec![incident(10, 5, 1, ScriptedKind::Replace)]), 3);
-    let (serial, list) = play.model.list(Duration::from_secs(41));
+fn replaced_exchange_drains_and_returns_under_another_name() {
+    let mut run = run(scenario(vec![incident(10, 5, 1, ScriptedKind::Replace)]), 3);
+    let (serial, list) = run.model.list(Duration::from_secs(41));
     assert_eq!((serial, list[1].name.as_str(), list[1].draining), (4, "s-1-1", false));
-    assert!(play.out.contains(&(Duration::from_secs(15), Output::ExchangeUp(1))));
+    assert!(run.outputs.contains(&(Duration::from_secs(15), Output::ExchangeUp(1))));
 }
 
 #[test]
-fn scripts_are_checked_before_anything_starts() {
-    let good = r#"{"nodes":7,"seconds":30,"calls_per_s":61,"lag_ms":2000,"incidents":[
+fn invalid_scripts_are_rejected_with_the_key_and_what_is_expected() {
+    let valid = r#"{"nodes":7,"seconds":30,"calls_per_s":61,"lag_ms":2000,"incidents":[
         {"at":5,"for":4,"node":2,"kind":"die"},{"at":3,"for":9,"kind":"lag","extra_ms":6000},
         {"at":0,"node":1,"kind":"clock","ahead_ms":80,"drift_ppm":50},{"at":1,"for":2,"node":0,"kind":"slow","factor":3}]}"#;
-    let scenario = Scenario::parse(good).expect("a script");
+    let scenario = Scenario::parse(valid).expect("a valid script");
     assert_eq!((scenario.nodes, scenario.incidents.len(), scenario.list_lag), (7, 4, Duration::from_secs(2)));
     assert_eq!(scenario.incidents[0], incident(5, 4, 2, ScriptedKind::Die));
     assert_eq!(scenario.incidents[2].kind, ScriptedKind::Clock(80, 50));
-    let wrong = |text: &str| Scenario::parse(text).expect_err(text).to_string();
-    assert!(wrong("{").starts_with("not JSON: "));
-    assert_eq!(wrong("[]"), "the script: expected an object");
-    assert_eq!(wrong(r#"{"nodes":1}"#), "nodes: expected a number from 2 to 32");
+    let error_of = |text: &str| Scenario::parse(text).expect_err(text).to_string();
+    assert!(error_of("{").starts_with("not JSON: "));
+    assert_eq!(error_of("[]"), "the script: expected an object");
+    assert_eq!(error_of(r#"{"nodes":1}"#), "nodes: expected a number from 2 to 32");
     assert_eq!(
-        wrong(r#"{"speed":1}"#),
+        error_of(r#"{"speed":1}"#),
         "speed: expected one of nodes, seconds, calls_per_s, lag_ms, incidents"
     );
-    let of = |entry: &str| wrong(&format!(r#"{{"incidents":[{entry}]}}"#));
+    let incident_error = |entry: &str| error_of(&format!(r#"{{"incidents":[{entry}]}}"#));
     assert_eq!(
-        of(r#"{"at":1,"kind":"burn"}"#),
+        incident_error(r#"{"at":1,"kind":"burn"}"#),
         "incidents.0.kind: expected one of die, replace, stall, slow, lag, kill, clock"
     );
-    assert_eq!(of(r#"{"at":1,"kind":"die","node":9}"#), "incidents.0.node: expected a number from 0 to 4");
     assert_eq!(
-        of(r#"{"at":1,"kind":"slow","node":1}"#),
+        incident_error(r#"{"at":1,"kind":"die","node":9}"#),
+        "incidents.0.node: expected a number from 0 to 4"
+    );
+    assert_eq!(
+        incident_error(r#"{"at":1,"kind":"slow","node":1}"#),
         "incidents.0.factor: expected a number from 1 to 100"
     );
     assert_eq!(
-        of(r#"{"at":1,"kind":"die","node":1,"factor":2}"#),
+        incident_error(r#"{"at":1,"kind":"die","node":1,"factor":2}"#),
         "incidents.0.factor: expected one of at, for, node, kind"
     );
     for name in Scenario::BUILT_IN_NAMES {
