--- a/crates/emulator/src/model.rs
+++ b/crates/emulator/src/model.rs
@@ -266,7 +266,7 @@
     /// All versions of the list of exchanges, with the time of each change.
     lists: Vec<(Duration, Vec<ListedExchange>)>,
     /// Index of the version that the resolver delivers now.
-    delivered: usize,
+    delivered_index: usize,
     list_lag: Duration,
     /// Ends of calls to be sent once their softswitch connects again: softswitch, exchange, call and message.
     undelivered: Vec<(usize, usize, u64, MessageFromExchange)>,
@@ -321,7 +321,7 @@
             dest_weights: vec![1.0; nodes],
             setup_work_s,
             lists: Vec::new(),
-            delivered: 0,
+            delivered_index: 0,
             list_lag: scenario.list_lag,
             undelivered: Vec::new(),
             totals: [ClassTotals::default(); CLASSES.len()],
@@ -385,10 +385,11 @@
     pub fn list(&mut self, now: Duration) -> (u32, &[ListedExchange]) {
         self.now = self.now.max(now);
         // A version once delivered is not withdrawn when the lag grows.
-        while self.lists.get(self.delivered + 1).is_some_and(|(at, _)| *at + self.list_lag <= self.now) {
-            self.delivered += 1;
+        while self.lists.get(self.delivered_index + 1).is_some_and(|(at, _)| *at + self.list_lag <= self.now)
+        {
+            self.delivered_index += 1;
         }
-        (self.delivered as u32 + 1, &self.lists[self.delivered].1)
+        (self.delivered_index as u32 + 1, &self.lists[self.delivered_index].1)
     }
 
     fn set_timer(&mut self, at: Duration, timer: Timer) {
--- a/crates/planner/src/network.rs
+++ b/crates/planner/src/network.rs
@@ -1,118 +1,124 @@
-//! The network that is planned for, read and checked before anything is worked out.
+//! The network to plan for, parsed from JSON and validated.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use thiserror::Error;
 use tinyjson::JsonValue;
 
-/// Worth and cost are counted in millionths, as whole numbers.
+/// Worth and cost are integers in millionths of a unit; this is the number of millionths in one unit.
 pub const MICRO: f64 = 1e6;
-/// Most of anything: what lies beyond is a mistake, and sums stay far from overflow.
-const MOST_CIRCUITS: f64 = 1e6;
-const MOST_UNITS: f64 = 1e6;
-/// Highest number of an exchange.
-const HIGHEST: f64 = 65_535.0;
+/// Highest number of circuits of a group, demand or limit. Larger values are taken for mistakes, and the sums of the
+/// objective stay far from overflow.
+const MAX_CIRCUITS: f64 = 1e6;
+/// Highest worth or cost of a circuit, in units.
+const MAX_UNITS: f64 = 1e6;
+const MAX_EXCHANGE_NUMBER: f64 = 65_535.0;
 
 /// An exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Exchange {
-    /// Its number.
+    /// Number of the exchange.
     pub number: u32,
-    /// Its region, a place in [`Network::regions`].
+    /// Index of its region in [`Network::regions`].
     pub region: usize,
 }
 
 /// A group of circuits between two exchanges.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Group {
-    /// The two, the lower number first.
+    /// Numbers of the two exchanges, the lower one first.
     pub between: (u32, u32),
-    /// Circuits.
+    /// Number of circuits.
     pub circuits: u32,
     /// Cost of each circuit in use, in millionths.
     pub cost: i64,
 }
 
-/// Circuits that are asked for from one exchange to another.
+/// Circuits demanded from one exchange to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Demand {
-    /// Where calls come from.
+    /// Number of the originating exchange.
     pub from: u32,
-    /// Where they go.
+    /// Number of the destination exchange.
     pub to: u32,
-    /// Circuits that all of them would keep busy.
+    /// Circuits that all calls between the two would occupy.
     pub circuits: u32,
-    /// Worth of each circuit that is carried, in millionths.
+    /// Worth of each circuit carried, in millionths.
     pub worth: i64,
-    /// The least that has to be carried.
-    pub must: u32,
+    /// Least number of circuits that a plan must carry.
+    pub min_circuits: u32,
 }
 
-/// A network, whole and consistent.
+/// A complete, consistent network.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Network {
     /// Names of the regions.
     pub regions: Vec<String>,
-    /// The exchanges, by number.
+    /// The exchanges, in order of their numbers.
     pub exchanges: Vec<Exchange>,
-    /// The groups, by the two that they are between.
+    /// The groups, by the numbers of their two exchanges.
     pub groups: BTreeMap<(u32, u32), Group>,
-    /// The demands, by from and to.
+    /// The demands, by origin and destination.
     pub demands: BTreeMap<(u32, u32), Demand>,
-    /// Most circuits that may pass tandems of a region, by region.
-    pub transit: BTreeMap<usize, u32>,
-    /// Cost of each circuit over a tandem beside that of its two legs, in millionths.
+    /// Maximum number of circuits over the tandems of a region, by index of the region.
+    pub transit_limits: BTreeMap<usize, u32>,
+    /// Cost of each circuit over a tandem, in addition to that of its two legs, in millionths.
     pub tandem_cost: i64,
 }
 
-/// What is wrong with a network.
+/// Why a network file is rejected.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum NetworkError {
-    /// It is not JSON.
+    /// The file is not JSON.
     #[error("not JSON: {0}")]
-    NotJson(String),
-    /// An entry makes no sense.
+    InvalidJson(String),
+    /// An entry is unknown, missing or invalid.
     #[error("{entry}: expected {expected}")]
-    Entry {
-        /// The entry, with the keys that lead to it.
+    InvalidEntry {
+        /// Path of the entry.
         entry: String,
         /// What was expected.
         expected: String,
     },
 }
 
-fn wrong(entry: impl Into<String>, expected: impl Into<String>) -> NetworkError {
-    NetworkError::Entry { entry: entry.into(), expected: expected.into() }
+fn invalid_entry(entry: impl Into<String>, expected: impl Into<String>) -> NetworkError {
+    NetworkError::InvalidEntry { entry: entry.into(), expected: expected.into() }
 }
 
-/// An object and the keys that lead to it.
+/// A JSON object and its path.
 struct Entry<'a> {
     path: String,
     object: &'a HashMap<String, JsonValue>,
 }
 
 impl<'a> Entry<'a> {
-    fn of(value: &'a JsonValue, path: &str, keys: &[&str]) -> Result<Self, NetworkError> {
+    /// The object, if the value is one and has no other keys than these.
+    fn new(value: &'a JsonValue, path: &str, keys: &[&str]) -> Result<Self, NetworkError> {
         let name = if path.is_empty() { "the network" } else { path };
-        let object = value.get::<HashMap<String, JsonValue>>().ok_or_else(|| wrong(name, "an object"))?;
+        let object =
+            value.get::<HashMap<String, JsonValue>>().ok_or_else(|| invalid_entry(name, "an object"))?;
         let entry = Self { path: path.to_owned(), object };
         let mut unknown: Vec<&String> = object.keys().filter(|key| !keys.contains(&key.as_str())).collect();
         unknown.sort();
         match unknown.first() {
-            Some(key) => Err(wrong(entry.join(key), format!("one of {}", keys.join(", ")))),
+            Some(key) => Err(invalid_entry(entry.path_of(key), format!("one of {}", keys.join(", ")))),
             None => Ok(entry),
         }
     }
 
-    fn join(&self, key: &str) -> String {
+    fn path_of(&self, key: &str) -> String {
         if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) }
     }
 
+    /// The elements of a list; none if the key is missing.
     fn list(&self, key: &str) -> Result<&'a [JsonValue], NetworkError> {
         match self.object.get(key) {
             None => Ok(&[]),
             Some(value) => {
-                let list = value.get::<Vec<JsonValue>>().ok_or_else(|| wrong(self.join(key), "a list"))?;
+                let list = value
+                    .get::<Vec<JsonValue>>()
+                    .ok_or_else(|| invalid_entry(self.path_of(key), "a list"))?;
                 Ok(list)
             }
         }
@@ -120,151 +126,165 @@
 
     fn text(&self, key: &str) -> Result<&'a str, NetworkError> {
         let text = self.object.get(key).and_then(|value| value.get::<String>());
-        text.map(String::as_str).ok_or_else(|| wrong(self.join(key), "a text"))
+        text.map(String::as_str).ok_or_else(|| invalid_entry(self.path_of(key), "a text"))
     }
 
-    /// A whole number up to a bound.
-    fn whole(&self, key: &str, most: f64, usual: Option<u32>) -> Result<u32, NetworkError> {
+    /// A whole number from 0 to `max`.
+    fn whole(&self, key: &str, max: f64, default: Option<u32>) -> Result<u32, NetworkError> {
         match self.object.get(key) {
-            None if usual.is_some() => Ok(usual.unwrap_or_default()),
-            value => whole(value, &self.join(key), most),
+            None if default.is_some() => Ok(default.unwrap_or_default()),
+            value => parse_whole(value, &self.path_of(key), max),
         }
     }
 
-    /// A number of units that is not negative, in millionths.
-    fn micro(&self, key: &str, usual: Option<f64>) -> Result<i64, NetworkError> {
+    /// A number of units from 0 to [`MAX_UNITS`], in millionths.
+    fn micro(&self, key: &str, default: Option<f64>) -> Result<i64, NetworkError> {
         let value = match self.object.get(key) {
-            None => usual,
+            None => default,
             Some(value) => value.get::<f64>().copied(),
         };
-        let value = value.filter(|n| (0.0..=MOST_UNITS).contains(n));
-        let value = value.ok_or_else(|| wrong(self.join(key), format!("a number from 0 to {MOST_UNITS}")))?;
+        let value = value.filter(|n| (0.0..=MAX_UNITS).contains(n));
+        let value = value
+            .ok_or_else(|| invalid_entry(self.path_of(key), format!("a number from 0 to {MAX_UNITS}")))?;
         Ok((value * MICRO).round() as i64)
     }
 }
 
-fn whole(value: Option<&JsonValue>, path: &str, most: f64) -> Result<u32, NetworkError> {
+fn parse_whole(value: Option<&JsonValue>, path: &str, max: f64) -> Result<u32, NetworkError> {
     let value =
-        value.and_then(|value| value.get::<f64>()).filter(|n| n.fract() == 0.0 && (0.0..=most).contains(*n));
-    value.map(|n| *n as u32).ok_or_else(|| wrong(path, format!("a whole number from 0 to {most}")))
+        value.and_then(|value| value.get::<f64>()).filter(|n| n.fract() == 0.0 && (0.0..=max).contains(*n));
+    value.map(|n| *n as u32).ok_or_else(|| invalid_entry(path, format!("a whole number from 0 to {max}")))
 }
 
 impl Network {
-    /// Reads a network.
+    /// Parses a network.
     ///
     /// # Errors
-    /// If it is not JSON or an entry makes no sense: unknown, missing, negative, not finite, too large, there twice, or
-    /// about an exchange or a region that is not there. The error names the entry.
+    /// If the text is not JSON, or an entry is unknown, missing, duplicate, negative, not finite, too large, or refers to an
+    /// unknown exchange or region. The error names the entry.
     pub fn parse(text: &str) -> Result<Self, NetworkError> {
-        let json: JsonValue = text.parse().map_err(|error| NetworkError::NotJson(format!("{error}")))?;
+        let json: JsonValue = text.parse().map_err(|error| NetworkError::InvalidJson(format!("{error}")))?;
         let keys = ["regions", "exchanges", "groups", "demand", "limits", "tandem_cost"];
-        let top = Entry::of(&json, "", &keys)?;
+        let top = Entry::new(&json, "", &keys)?;
         let mut network = Self { tandem_cost: top.micro("tandem_cost", Some(0.0))?, ..Self::default() };
         for (i, region) in top.list("regions")?.iter().enumerate() {
             let path = format!("regions.{i}");
             let name = region
                 .get::<String>()
                 .filter(|name| !name.is_empty())
-                .ok_or_else(|| wrong(&path, "a name"))?;
+                .ok_or_else(|| invalid_entry(&path, "a name"))?;
             if network.regions.contains(name) {
-                return Err(wrong(path, format!("each region once, and '{name}' is there before")));
+                return Err(invalid_entry(path, format!("each region once, and '{name}' is there before")));
             }
             network.regions.push(name.clone());
         }
-        network.read_exchanges(&top)?;
-        network.read_groups(&top)?;
-        network.read_demands(&top)?;
-        network.read_limits(&top)?;
+        network.parse_exchanges(&top)?;
+        network.parse_groups(&top)?;
+        network.parse_demands(&top)?;
+        network.parse_limits(&top)?;
         Ok(network)
     }
 
-    fn read_exchanges(&mut self, top: &Entry<'_>) -> Result<(), NetworkError> {
+    fn parse_exchanges(&mut self, top: &Entry<'_>) -> Result<(), NetworkError> {
         let mut known = BTreeSet::new();
         for (i, value) in top.list("exchanges")?.iter().enumerate() {
-            let entry = Entry::of(value, &format!("exchanges.{i}"), &["number", "region"])?;
-            let number = entry.whole("number", HIGHEST, None)?;
+            let entry = Entry::new(value, &format!("exchanges.{i}"), &["number", "region"])?;
+            let number = entry.whole("number", MAX_EXCHANGE_NUMBER, None)?;
             if !known.insert(number) {
-                return Err(wrong(
-                    entry.join("number"),
+                return Err(invalid_entry(
+                    entry.path_of("number"),
                     format!("each exchange once, and {number} is there before"),
                 ));
             }
-            let region = self.region(entry.text("region")?, &entry.join("region"))?;
+            let region = self.region_index(entry.text("region")?, &entry.path_of("region"))?;
             self.exchanges.push(Exchange { number, region });
         }
         if self.exchanges.len() < 2 {
-            return Err(wrong("exchanges", "two or more"));
+            return Err(invalid_entry("exchanges", "two or more"));
         }
         self.exchanges.sort_by_key(|exchange| exchange.number);
         Ok(())
     }
 
-    fn region(&self, name: &str, path: &str) -> Result<usize, NetworkError> {
-        let place = self.regions.iter().position(|region| region == name);
-        place.ok_or_else(|| wrong(path, format!("one of the regions, and '{name}' is none")))
+    fn region_index(&self, name: &str, path: &str) -> Result<usize, NetworkError> {
+        let index = self.regions.iter().position(|region| region == name);
+        index.ok_or_else(|| invalid_entry(path, format!("one of the regions, and '{name}' is none")))
     }
 
-    /// Place of an exchange, by its number.
-    pub fn place(&self, number: u32) -> Option<usize> {
+    /// Index of an exchange in [`Network::exchanges`], by its number.
+    pub fn exchange_index(&self, number: u32) -> Option<usize> {
         self.exchanges.binary_search_by_key(&number, |exchange| exchange.number).ok()
     }
 
-    fn read_groups(&mut self, top: &Entry<'_>) -> Result<(), NetworkError> {
+    fn parse_groups(&mut self, top: &Entry<'_>) -> Result<(), NetworkError> {
         for (i, value) in top.list("groups")?.iter().enumerate() {
-            let entry = Entry::of(value, &format!("groups.{i}"), &["between", "circuits", "cost"])?;
-            let path = entry.join("between");
+            let entry = Entry::new(value, &format!("groups.{i}"), &["between", "circuits", "cost"])?;
+            let path = entry.path_of("between");
             let ends = entry.list("between")?;
-            let [a, b] = ends else { return Err(wrong(path, "two numbers of exchanges")) };
-            let (a, b) = (whole(Some(a), &path, HIGHEST)?, whole(Some(b), &path, HIGHEST)?);
-            self.both(a, b, &path)?;
+            let [a, b] = ends else { return Err(invalid_entry(path, "two numbers of exchanges")) };
+            let (a, b) = (
+                parse_whole(Some(a), &path, MAX_EXCHANGE_NUMBER)?,
+                parse_whole(Some(b), &path, MAX_EXCHANGE_NUMBER)?,
+            );
+            self.check_pair(a, b, &path)?;
             let between = (a.min(b), a.max(b));
             let group = Group {
                 between,
-                circuits: entry.whole("circuits", MOST_CIRCUITS, None)?,
+                circuits: entry.whole("circuits", MAX_CIRCUITS, None)?,
                 cost: entry.micro("cost", Some(0.0))?,
             };
             if self.groups.insert(between, group).is_some() {
-                return Err(wrong(path, format!("each pair once, and {a} and {b} are there before")));
+                return Err(invalid_entry(path, format!("each pair once, and {a} and {b} are there before")));
             }
         }
         Ok(())
     }
 
-    fn both(&self, a: u32, b: u32, path: &str) -> Result<(), NetworkError> {
-        match [a, b].into_iter().find(|number| self.place(*number).is_none()) {
-            Some(number) => Err(wrong(path, format!("exchanges of the network, and {number} is none"))),
-            None if a == b => Err(wrong(path, "two different exchanges")),
+    /// Checks that these are two different exchanges of the network.
+    fn check_pair(&self, a: u32, b: u32, path: &str) -> Result<(), NetworkError> {
+        match [a, b].into_iter().find(|number| self.exchange_index(*number).is_none()) {
+            Some(number) => {
+                Err(invalid_entry(path, format!("exchanges of the network, and {number} is none")))
+            }
+            None if a == b => Err(invalid_entry(path, "two different exchanges")),
             None => Ok(()),
         }
     }
 
-    fn read_demands(&mut self, top: &Entry<'_>) -> Result<(), NetworkError> {
+    fn parse_demands(&mut self, top: &Entry<'_>) -> Result<(), NetworkError> {
         for (i, value) in top.list("demand")?.iter().enumerate() {
             let keys = ["from", "to", "circuits", "worth", "must"];
-            let entry = Entry::of(value, &format!("demand.{i}"), &keys)?;
-            let (from, to) = (entry.whole("from", HIGHEST, None)?, entry.whole("to", HIGHEST, None)?);
-            self.both(from, to, &entry.path)?;
-            let circuits = entry.whole("circuits", MOST_CIRCUITS, None)?;
-            // What must be carried is a part of what is asked for.
-            let must = entry.whole("must", f64::from(circuits), Some(0))?;
-            let demand = Demand { from, to, circuits, worth: entry.micro("worth", Some(1.0))?, must };
+            let entry = Entry::new(value, &format!("demand.{i}"), &keys)?;
+            let (from, to) = (
+                entry.whole("from", MAX_EXCHANGE_NUMBER, None)?,
+                entry.whole("to", MAX_EXCHANGE_NUMBER, None)?,
+            );
+            self.check_pair(from, to, &entry.path)?;
+            let circuits = entry.whole("circuits", MAX_CIRCUITS, None)?;
+            // No more can be required than is demanded.
+            let min_circuits = entry.whole("must", f64::from(circuits), Some(0))?;
+            let demand = Demand { from, to, circuits, worth: entry.micro("worth", Some(1.0))?, min_circuits };
             if self.demands.insert((from, to), demand).is_some() {
-                return Err(wrong(entry.path, format!("each pair once, and {from} to {to} is there before")));
+                return Err(invalid_entry(
+                    entry.path,
+                    format!("each pair once, and {from} to {to} is there before"),
+                ));
             }
         }
         Ok(())
     }
 
-    fn read_limits(&mut self, top: &Entry<'_>) -> Result<(), NetworkError> {
+    fn parse_limits(&mut self, top: &Entry<'_>) -> Result<(), NetworkError> {
         let Some(limits) = top.object.get("limits") else { return Ok(()) };
-        let limits = Entry::of(limits, "limits", &["transit"])?;
+        let limits = Entry::new(limits, "limits", &["transit"])?;
         let Some(transit) = limits.object.get("transit") else { return Ok(()) };
-        let path = limits.join("transit");
-        let transit = transit.get::<HashMap<String, JsonValue>>().ok_or_else(|| wrong(&path, "an object"))?;
-        for (name, most) in transit {
+        let path = limits.path_of("transit");
+        let transit =
+            transit.get::<HashMap<String, JsonValue>>().ok_or_else(|| invalid_entry(&path, "an object"))?;
+        for (name, max) in transit {
             let path = format!("{path}.{name}");
-            let region = self.region(name, &path)?;
-            self.transit.insert(region, whole(Some(most), &path, MOST_CIRCUITS)?);
+            let region = self.region_index(name, &path)?;
+            self.transit_limits.insert(region, parse_whole(Some(max), &path, MAX_CIRCUITS)?);
         }
         Ok(())
     }
@@ -274,13 +294,13 @@
         self.groups.get(&(a.min(b), a.max(b)))
     }
 
-    /// The ways that a demand may take, in canonical order: direct, then by the tandem's number; those alone whose groups
-    /// are all there.
+    /// The routes that a demand may take, in canonical order: the direct route (`None`), then by the number of the tandem.
+    /// Only routes whose groups exist.
     pub fn routes(&self, from: u32, to: u32) -> Vec<Option<u32>> {
         let direct = self.group(from, to).map(|_| None);
-        let over = self.exchanges.iter().map(|exchange| exchange.number).filter(|via| {
+        let tandems = self.exchanges.iter().map(|exchange| exchange.number).filter(|via| {
             *via != from && *via != to && self.group(from, *via).is_some() && self.group(*via, to).is_some()
         });
-        direct.into_iter().chain(over.map(Some)).collect()
+        direct.into_iter().chain(tandems.map(Some)).collect()
     }
 }
--- a/crates/planner/src/plan.rs
+++ b/crates/planner/src/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: what they carry, what they cost, which comes first, and whether a network can carry them.
+//! Plans: their objective, their canonical order, and the check whether a network can carry them.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -7,181 +7,188 @@
 
 use crate::network::Network;
 
-/// Circuits of one demand on one way.
+/// Circuits of one demand on one route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Flow {
-    /// Where the calls come from.
+    /// Number of the originating exchange.
     pub from: u32,
-    /// Where they go.
+    /// Number of the destination exchange.
     pub to: u32,
-    /// The tandem; `None` for the direct way, which comes first.
+    /// Number of the tandem; `None` for the direct route, which comes first in the order of flows.
     pub via: Option<u32>,
-    /// Circuits, more than 0.
+    /// Number of circuits, at least 1.
     pub circuits: u32,
 }
 
-/// What is to be as little as possible, in this order, both in millionths.
+/// Objective of the planner, in millionths: minimize the uncarried worth, then the cost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Objective {
-    /// Worth of what is asked for and not carried.
-    pub uncarried: i128,
+    /// Worth of the circuits that are demanded and not carried.
+    pub uncarried_worth: i128,
     /// Cost of the circuits in use.
     pub cost: i128,
 }
 
-/// A plan and what it is worth.
+/// A plan with its objective.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// Its flows in canonical order.
+    /// The flows, in canonical order.
     pub flows: Vec<Flow>,
-    /// What it leaves and costs.
+    /// Uncarried worth and cost of the flows.
     pub objective: Objective,
 }
 
 /// Why a network cannot carry a plan.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum Violation {
-    /// Nobody asks for this.
+    /// The network has no demand from this origin to this destination.
     #[error("flow from {from} to {to}: the network has no such demand")]
     NoDemand {
-        /// From.
+        /// Number of the originating exchange.
         from: u32,
-        /// To.
+        /// Number of the destination exchange.
         to: u32,
     },
-    /// A way that is none.
+    /// The route does not exist.
     #[error("flow from {from} to {to}: there is no way {}", via.map_or("straight there".to_owned(), |via| format!("over {via}")))]
-    NoWay {
-        /// From.
+    NoRoute {
+        /// Number of the originating exchange.
         from: u32,
-        /// To.
+        /// Number of the destination exchange.
         to: u32,
-        /// The tandem.
+        /// Number of the tandem; `None` for the direct route.
         via: Option<u32>,
     },
-    /// A flow of nothing, or one that is there twice.
+    /// A flow without circuits, or a second flow on the same route.
     #[error("flow from {from} to {to}: expected each way once, with one circuit or more")]
-    Malformed {
-        /// From.
+    InvalidFlow {
+        /// Number of the originating exchange.
         from: u32,
-        /// To.
+        /// Number of the destination exchange.
         to: u32,
     },
-    /// More than is asked for.
-    #[error("from {from} to {to}: {carried} circuits of {asked} asked for")]
-    TooMuch {
-        /// From.
+    /// More circuits than are demanded.
+    #[error("from {from} to {to}: {carried} circuits of {demanded} demanded")]
+    ExceedsDemand {
+        /// Number of the originating exchange.
         from: u32,
-        /// To.
+        /// Number of the destination exchange.
         to: u32,
-        /// Carried.
+        /// Circuits carried.
         carried: u64,
-        /// Asked for.
-        asked: u32,
+        /// Circuits demanded.
+        demanded: u32,
     },
-    /// Less than must be carried.
-    #[error("from {from} to {to}: {carried} circuits where {must} must be carried")]
-    TooLittle {
-        /// From.
+    /// Fewer circuits than must be carried.
+    #[error("from {from} to {to}: {carried} circuits where {min_circuits} must be carried")]
+    BelowMinimum {
+        /// Number of the originating exchange.
         from: u32,
-        /// To.
+        /// Number of the destination exchange.
         to: u32,
-        /// Carried.
+        /// Circuits carried.
         carried: u64,
-        /// The least.
-        must: u32,
+        /// Least number of circuits to be carried.
+        min_circuits: u32,
     },
-    /// A group has not so many circuits.
+    /// More circuits than the group has.
     #[error("group between {} and {}: {used} circuits of {circuits}", between.0, between.1)]
-    GroupFull {
-        /// The group.
+    GroupExceeded {
+        /// The two exchanges of the group.
         between: (u32, u32),
-        /// Used.
+        /// Circuits used.
         used: u64,
-        /// There are.
+        /// Circuits of the group.
         circuits: u32,
     },
-    /// More transit than a region allows.
-    #[error("transit in region {region}: {used} circuits of {most}")]
-    RegionFull {
-        /// The region's name.
+    /// More circuits over tandems of a region than its limit.
+    #[error("transit in region {region}: {used} circuits of {max_circuits}")]
+    TransitLimitExceeded {
+        /// Name of the region.
         region: String,
-        /// Used.
+        /// Circuits used.
         used: u64,
-        /// Allowed.
-        most: u32,
+        /// Maximum number of circuits.
+        max_circuits: u32,
     },
 }
 
 /// Whether a network can carry these flows.
 ///
 /// # Errors
-/// Everything that is wrong, in the order of the plan and then of the network.
-pub fn check(network: &Network, flows: &[Flow]) -> Result<(), Vec<Violation>> {
-    let mut wrong = Vec::new();
+/// All violations: first those of single flows, in the order of the flows, then those of demands, groups and regions.
+pub fn check_plan(network: &Network, flows: &[Flow]) -> Result<(), Vec<Violation>> {
+    let mut violations = Vec::new();
     let mut carried: BTreeMap<(u32, u32), u64> = BTreeMap::new();
     let mut used: BTreeMap<(u32, u32), u64> = BTreeMap::new();
-    let mut transit: BTreeMap<usize, u64> = BTreeMap::new();
+    let mut transit_used: BTreeMap<usize, u64> = BTreeMap::new();
     let mut seen = std::collections::BTreeSet::new();
     for Flow { from, to, via, circuits } in flows.iter().copied() {
         if circuits == 0 || !seen.insert((from, to, via)) {
-            wrong.push(Violation::Malformed { from, to });
+            violations.push(Violation::InvalidFlow { from, to });
             continue;
         }
         if !network.demands.contains_key(&(from, to)) {
-            wrong.push(Violation::NoDemand { from, to });
+            violations.push(Violation::NoDemand { from, to });
             continue;
         }
         let legs = match via {
             None => vec![(from, to)],
             Some(via) => vec![(from, via), (via, to)],
         };
-        let known = via.is_none_or(|via| via != from && via != to && network.place(via).is_some());
-        if !known || legs.iter().any(|(a, b)| network.group(*a, *b).is_none()) {
-            wrong.push(Violation::NoWay { from, to, via });
+        let valid_tandem =
+            via.is_none_or(|via| via != from && via != to && network.exchange_index(via).is_some());
+        if !valid_tandem || legs.iter().any(|(a, b)| network.group(*a, *b).is_none()) {
+            violations.push(Violation::NoRoute { from, to, via });
             continue;
         }
         *carried.entry((from, to)).or_default() += u64::from(circuits);
         for (a, b) in legs {
             *used.entry((a.min(b), a.max(b))).or_default() += u64::from(circuits);
         }
-        if let Some(place) = via.and_then(|via| network.place(via)) {
-            *transit.entry(network.exchanges[place].region).or_default() += u64::from(circuits);
+        if let Some(index) = via.and_then(|via| network.exchange_index(via)) {
+            *transit_used.entry(network.exchanges[index].region).or_default() += u64::from(circuits);
         }
     }
     for ((from, to), demand) in &network.demands {
         let (from, to) = (*from, *to);
         let carried = carried.get(&(from, to)).copied().unwrap_or(0);
         if carried > u64::from(demand.circuits) {
-            wrong.push(Violation::TooMuch { from, to, carried, asked: demand.circuits });
+            violations.push(Violation::ExceedsDemand { from, to, carried, demanded: demand.circuits });
         }
-        if carried < u64::from(demand.must) {
-            wrong.push(Violation::TooLittle { from, to, carried, must: demand.must });
+        if carried < u64::from(demand.min_circuits) {
+            violations.push(Violation::BelowMinimum { from, to, carried, min_circuits: demand.min_circuits });
         }
     }
     for (between, used) in used {
         let circuits = network.groups.get(&between).map_or(0, |group| group.circuits);
         if used > u64::from(circuits) {
-            wrong.push(Violation::GroupFull { between, used, circuits });
+            violations.push(Violation::GroupExceeded { between, used, circuits });
         }
     }
-    for (region, most) in &network.transit {
-        let used = transit.get(region).copied().unwrap_or(0);
-        if used > u64::from(*most) {
-            wrong.push(Violation::RegionFull { region: network.regions[*region].clone(), used, most: *most });
+    for (region, max_circuits) in &network.transit_limits {
+        let used = transit_used.get(region).copied().unwrap_or(0);
+        if used > u64::from(*max_circuits) {
+            violations.push(Violation::TransitLimitExceeded {
+                region: network.regions[*region].clone(),
+                used,
+                max_circuits: *max_circuits,
+            });
         }
     }
-    if wrong.is_empty() { Ok(()) } else { Err(wrong) }
+    if violations.is_empty() { Ok(()) } else { Err(violations) }
 }
 
-/// What flows leave uncarried and what they cost. They need not be possible; a flow without a way costs nothing.
+/// Uncarried worth and cost of these flows. The network need not be able to carry them; a route that does not exist costs
+/// nothing.
 pub fn objective(network: &Network, flows: &[Flow]) -> Objective {
-    let asked = network.demands.values().map(|demand| i128::from(demand.circuits) * i128::from(demand.worth));
-    let mut objective = Objective { uncarried: asked.sum(), cost: 0 };
+    let demanded =
+        network.demands.values().map(|demand| i128::from(demand.circuits) * i128::from(demand.worth));
+    let mut objective = Objective { uncarried_worth: demanded.sum(), cost: 0 };
     for flow in flows {
         let circuits = i128::from(flow.circuits);
         let worth = network.demands.get(&(flow.from, flow.to)).map_or(0, |demand| demand.worth);
-        objective.uncarried -= circuits * i128::from(worth);
+        objective.uncarried_worth -= circuits * i128::from(worth);
         let cost = |a, b| network.group(a, b).map_or(0, |group| i128::from(group.cost));
         objective.cost += circuits
             * match flow.via {
@@ -192,14 +199,14 @@
     objective
 }
 
-/// Which of two plans comes first in canonical order: by from, to and way, the one that has more circuits at the first
-/// place where they differ.
-pub fn canonical(a: &[Flow], b: &[Flow]) -> Ordering {
-    let by_place = |flows: &[Flow]| -> BTreeMap<(u32, u32, Option<u32>), u32> {
+/// Compares two plans in canonical order. The flows are compared by origin, destination and route; at the first difference
+/// the plan with more circuits comes first.
+pub fn compare_canonical(a: &[Flow], b: &[Flow]) -> Ordering {
+    let by_route = |flows: &[Flow]| -> BTreeMap<(u32, u32, Option<u32>), u32> {
         flows.iter().map(|flow| ((flow.from, flow.to, flow.via), flow.circuits)).collect()
     };
-    let (a, b) = (by_place(a), by_place(b));
-    let places: std::collections::BTreeSet<_> = a.keys().chain(b.keys()).collect();
-    let differ = places.into_iter().map(|place| (a.get(place).unwrap_or(&0), b.get(place).unwrap_or(&0)));
-    differ.map(|(a, b)| b.cmp(a)).find(|order| *order != Ordering::Equal).unwrap_or(Ordering::Equal)
+    let (a, b) = (by_route(a), by_route(b));
+    let routes: std::collections::BTreeSet<_> = a.keys().chain(b.keys()).collect();
+    let circuits = routes.into_iter().map(|route| (a.get(route).unwrap_or(&0), b.get(route).unwrap_or(&0)));
+    circuits.map(|(a, b)| b.cmp(a)).find(|order| *order != Ordering::Equal).unwrap_or(Ordering::Equal)
 }
--- a/crates/planner/src/solve.rs
+++ b/crates/planner/src/solve.rs
@@ -1,8 +1,9 @@
-//! The best plan by integer programs: first what is left uncarried, then what it costs, then which plan comes first.
+//! The best plan by integer programs that are solved one after the other: the first minimizes the uncarried worth, the
+//! second the cost, and the others select the first of the remaining plans in canonical order.
 //!
-//! Each program fixes what the one before it has found. Worths and costs are divided by what they all have in common, so
-//! that two plans which differ at all differ by 1 or more and rounding cannot make one of the other; what a program
-//! answers is rounded to whole circuits, checked, and weighed in whole millionths.
+//! Each program fixes the values that the earlier ones found. Worths and costs are divided by their greatest common divisor,
+//! so that the objectives of two plans are equal or differ by at least 1 and rounding errors cannot confuse them. The
+//! solution is rounded to whole circuits, checked against the network, and its objective is computed in integers.
 
 use std::collections::BTreeMap;
 
@@ -13,37 +14,37 @@
 use thiserror::Error;
 
 use crate::network::Network;
-use crate::plan::{Flow, Plan, check, objective};
+use crate::plan::{Flow, Plan, check_plan, objective};
 
 /// Why there is no plan.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SolveError {
-    /// No plan carries what must be carried.
+    /// No plan carries all the circuits that must be carried.
     #[error("no plan carries all that must be carried")]
     Infeasible,
-    /// The solver failed, or answered with what is no plan.
+    /// The solver failed, or its solution is not a valid plan.
     #[error("the solver failed: {0}")]
     Solver(String),
 }
 
-/// One place of a plan: a way of a demand.
+/// Variable of the program: the circuits of one demand on one route.
 #[derive(Clone, Copy, Debug)]
-struct Place {
+struct RouteVariable {
     from: u32,
     to: u32,
     via: Option<u32>,
-    most: u32,
+    max_circuits: u32,
     worth: i64,
     cost: i64,
 }
 
-/// The network as a table of places and of what they have to fit into.
-struct Table {
-    places: Vec<Place>,
-    /// Sums of places that are bounded from above, and from below.
-    at_most: Vec<(Vec<usize>, u32)>,
-    at_least: Vec<(Vec<usize>, u32)>,
-    /// What all worths and all costs have in common.
+/// The network as variables and linear constraints.
+struct Formulation {
+    variables: Vec<RouteVariable>,
+    /// Constraints: indices of variables, and the upper or lower bound of their sum.
+    upper_bounds: Vec<(Vec<usize>, u32)>,
+    lower_bounds: Vec<(Vec<usize>, u32)>,
+    /// Greatest common divisor of all worths, and of all costs.
     worth_unit: i64,
     cost_unit: i64,
 }
@@ -52,77 +53,83 @@
     if b == 0 { a } else { gcd(b, a % b) }
 }
 
-impl Table {
-    fn of(network: &Network) -> Self {
-        let mut places = Vec::new();
-        let (mut at_most, mut at_least) = (Vec::new(), Vec::new());
+impl Formulation {
+    fn new(network: &Network) -> Self {
+        let mut variables = Vec::new();
+        let (mut upper_bounds, mut lower_bounds) = (Vec::new(), Vec::new());
         let mut groups: BTreeMap<(u32, u32), Vec<usize>> = BTreeMap::new();
         let mut regions: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
         for ((from, to), demand) in &network.demands {
             let (from, to) = (*from, *to);
-            let mut own = Vec::new();
+            let mut routes = Vec::new();
             for via in network.routes(from, to) {
-                let place = places.len();
+                let index = variables.len();
                 let legs = match via {
                     None => vec![(from, to)],
                     Some(via) => vec![(from, via), (via, to)],
                 };
                 let mut cost = if via.is_some() { network.tandem_cost } else { 0 };
-                let mut most = demand.circuits;
+                let mut max_circuits = demand.circuits;
                 for (a, b) in legs {
                     let Some(group) = network.group(a, b) else { continue };
                     cost += group.cost;
-                    most = most.min(group.circuits);
-                    groups.entry(group.between).or_default().push(place);
+                    max_circuits = max_circuits.min(group.circuits);
+                    groups.entry(group.between).or_default().push(index);
                 }
                 if let Some(region) =
-                    via.and_then(|via| network.place(via)).map(|at| network.exchanges[at].region)
+                    via.and_then(|via| network.exchange_index(via)).map(|at| network.exchanges[at].region)
                 {
-                    regions.entry(region).or_default().push(place);
+                    regions.entry(region).or_default().push(index);
                 }
-                places.push(Place { from, to, via, most, worth: demand.worth, cost });
-                own.push(place);
+                variables.push(RouteVariable { from, to, via, max_circuits, worth: demand.worth, cost });
+                routes.push(index);
             }
-            at_most.push((own.clone(), demand.circuits));
-            if demand.must > 0 {
-                at_least.push((own, demand.must));
+            upper_bounds.push((routes.clone(), demand.circuits));
+            if demand.min_circuits > 0 {
+                lower_bounds.push((routes, demand.min_circuits));
             }
         }
-        for (between, places) in groups {
-            at_most.push((places, network.groups[&between].circuits));
+        for (between, indices) in groups {
+            upper_bounds.push((indices, network.groups[&between].circuits));
         }
-        for (region, places) in regions {
-            if let Some(most) = network.transit.get(&region) {
-                at_most.push((places, *most));
+        for (region, indices) in regions {
+            if let Some(max_circuits) = network.transit_limits.get(&region) {
+                upper_bounds.push((indices, *max_circuits));
             }
         }
-        let unit = |of: fn(&Place) -> i64| places.iter().map(of).fold(0, gcd).max(1);
-        let (worth_unit, cost_unit) = (unit(|place| place.worth), unit(|place| place.cost));
-        Self { places, at_most, at_least, worth_unit, cost_unit }
+        let common_divisor =
+            |value: fn(&RouteVariable) -> i64| variables.iter().map(value).fold(0, gcd).max(1);
+        let (worth_unit, cost_unit) =
+            (common_divisor(|variable| variable.worth), common_divisor(|variable| variable.cost));
+        Self { variables, upper_bounds, lower_bounds, worth_unit, cost_unit }
     }
 }
 
-impl Table {
-    /// The most that a place may carry beside those before it, which carry so much.
-    fn room(&self, place: usize, before: &[u32]) -> u32 {
-        let rows = self.at_most.iter().filter(|(places, _)| places.contains(&place));
-        let left = rows.map(|(places, most)| {
-            let taken: u32 = places.iter().filter_map(|other| before.get(*other)).sum();
-            most.saturating_sub(taken)
+impl Formulation {
+    /// Upper bound of a variable, given the values of the variables before it.
+    fn remaining_capacity(&self, index: usize, fixed: &[u32]) -> u32 {
+        let constraints = self.upper_bounds.iter().filter(|(indices, _)| indices.contains(&index));
+        let remaining = constraints.map(|(indices, max)| {
+            let used: u32 = indices.iter().filter_map(|other| fixed.get(*other)).sum();
+            max.saturating_sub(used)
         });
-        left.chain([self.places[place].most]).min().unwrap_or(0)
+        remaining.chain([self.variables[index].max_circuits]).min().unwrap_or(0)
     }
 }
 
-/// What a program is to make as large as it can.
+/// Objective of one program.
 #[derive(Clone, Copy)]
 enum Goal {
+    /// Maximize the worth carried.
     Worth,
-    Cheapness,
-    Place(usize),
+    /// Minimize the cost.
+    Cost,
+    /// Maximize the variable of this index.
+    Circuits(usize),
 }
 
-/// What earlier programs have found, in units.
+/// Results of earlier programs, which later ones must keep: worth and cost in multiples of the common divisors, and the
+/// values of the first variables.
 #[derive(Clone, Default)]
 struct Fixed {
     worth: Option<i64>,
@@ -130,90 +137,101 @@
     circuits: Vec<u32>,
 }
 
-/// The best plan.
+/// The best plan: the one with the lowest objective, and among equals the first in canonical order.
 ///
 /// # Errors
-/// If there is none, or the solver fails.
-pub fn best(network: &Network) -> Result<Plan, SolveError> {
-    let table = Table::of(network);
-    if table.at_least.iter().any(|(places, _)| places.is_empty()) {
+/// If there is no plan that carries what must be carried, or the solver fails.
+pub fn best_plan(network: &Network) -> Result<Plan, SolveError> {
+    let formulation = Formulation::new(network);
+    if formulation.lower_bounds.iter().any(|(indices, _)| indices.is_empty()) {
         return Err(SolveError::Infeasible);
     }
-    let sum = |circuits: &[u32], of: fn(&Place) -> i64, unit: i64| -> i64 {
-        table.places.iter().zip(circuits).map(|(place, n)| of(place) / unit * i64::from(*n)).sum()
+    let sum = |circuits: &[u32], value: fn(&RouteVariable) -> i64, unit: i64| -> i64 {
+        formulation
+            .variables
+            .iter()
+            .zip(circuits)
+            .map(|(variable, n)| value(variable) / unit * i64::from(*n))
+            .sum()
     };
     let mut fixed = Fixed::default();
-    let mut circuits = program(&table, &fixed, Goal::Worth)?;
-    fixed.worth = Some(sum(&circuits, |place| place.worth, table.worth_unit));
-    if !table.places.is_empty() {
-        circuits = program(&table, &fixed, Goal::Cheapness)?;
-        fixed.cost = Some(sum(&circuits, |place| place.cost, table.cost_unit));
+    let mut circuits = solve_program(&formulation, &fixed, Goal::Worth)?;
+    fixed.worth = Some(sum(&circuits, |variable| variable.worth, formulation.worth_unit));
+    if !formulation.variables.is_empty() {
+        circuits = solve_program(&formulation, &fixed, Goal::Cost)?;
+        fixed.cost = Some(sum(&circuits, |variable| variable.cost, formulation.cost_unit));
     }
-    for place in 0..table.places.len() {
-        // At the most that what is fixed before it leaves, it cannot be moved up.
-        if circuits[place] < table.room(place, &fixed.circuits) {
-            circuits = program(&table, &fixed, Goal::Place(place))?;
+    for index in 0..formulation.variables.len() {
+        // No program is needed for a variable that is already at its upper bound.
+        if circuits[index] < formulation.remaining_capacity(index, &fixed.circuits) {
+            circuits = solve_program(&formulation, &fixed, Goal::Circuits(index))?;
         }
-        fixed.circuits.push(circuits[place]);
+        fixed.circuits.push(circuits[index]);
     }
-    let filled = table.places.iter().zip(&circuits).filter(|(_, n)| **n > 0);
-    let flow =
-        |(place, n): (&Place, &u32)| Flow { from: place.from, to: place.to, via: place.via, circuits: *n };
-    let flows: Vec<Flow> = filled.map(flow).collect();
-    // The solver counts in floating point: what it answers is taken for a plan only once it has passed the check.
-    if let Err(wrong) = check(network, &flows) {
-        return Err(SolveError::Solver(format!("its answer is no plan: {}", wrong[0])));
+    let used = formulation.variables.iter().zip(&circuits).filter(|(_, n)| **n > 0);
+    let flow = |(route, n): (&RouteVariable, &u32)| Flow {
+        from: route.from,
+        to: route.to,
+        via: route.via,
+        circuits: *n,
+    };
+    let flows: Vec<Flow> = used.map(flow).collect();
+    // The solver uses floating point, so its solution is checked before it counts as a plan.
+    if let Err(violations) = check_plan(network, &flows) {
+        return Err(SolveError::Solver(format!("its solution is not a valid plan: {}", violations[0])));
     }
     Ok(Plan { objective: objective(network, &flows), flows })
 }
 
-/// One program: circuits of each place.
-fn program(table: &Table, fixed: &Fixed, goal: Goal) -> Result<Vec<u32>, SolveError> {
+/// Solves one program; returns the circuits of each variable.
+fn solve_program(formulation: &Formulation, fixed: &Fixed, goal: Goal) -> Result<Vec<u32>, SolveError> {
     let mut variables = ProblemVariables::new();
-    let at: Vec<Variable> = table
-        .places
+    let handles: Vec<Variable> = formulation
+        .variables
         .iter()
         .enumerate()
-        .map(|(place, held)| {
-            let (least, most) = match fixed.circuits.get(place) {
+        .map(|(index, route)| {
+            let (min, max) = match fixed.circuits.get(index) {
                 Some(circuits) => (*circuits, *circuits),
-                None => (0, held.most),
+                None => (0, route.max_circuits),
             };
-            variables.add(variable().integer().min(least).max(most))
+            variables.add(variable().integer().min(min).max(max))
         })
         .collect();
-    let weighed = |of: &dyn Fn(&Place) -> i64| -> Expression {
-        table.places.iter().zip(&at).map(|(place, variable)| of(place) as f64 * *variable).sum()
+    let weighted_sum = |weight: &dyn Fn(&RouteVariable) -> i64| -> Expression {
+        formulation.variables.iter().zip(&handles).map(|(route, handle)| weight(route) as f64 * *handle).sum()
     };
-    let worth = weighed(&|place| place.worth / table.worth_unit);
-    let cost = weighed(&|place| place.cost / table.cost_unit);
-    let aim: Expression = match goal {
+    let worth = weighted_sum(&|route| route.worth / formulation.worth_unit);
+    let cost = weighted_sum(&|route| route.cost / formulation.cost_unit);
+    let objective: Expression = match goal {
         Goal::Worth => worth.clone(),
-        Goal::Cheapness => -cost.clone(),
-        Goal::Place(place) => at[place].into(),
+        Goal::Cost => -cost.clone(),
+        Goal::Circuits(index) => handles[index].into(),
+    };
+    let mut model = variables.maximise(objective).using(microlp);
+    let sum = |indices: &[usize]| -> Expression {
+        indices.iter().map(|index| Expression::from(handles[*index])).sum()
     };
-    let mut model = variables.maximise(aim).using(microlp);
-    let sum =
-        |places: &[usize]| -> Expression { places.iter().map(|place| Expression::from(at[*place])).sum() };
-    let mut bounds: Vec<Constraint> = Vec::new();
-    bounds.extend(
-        table
-            .at_most
+    let mut constraints: Vec<Constraint> = Vec::new();
+    constraints.extend(
+        formulation
+            .upper_bounds
             .iter()
             .filter(|(p, _)| !p.is_empty())
             .map(|(p, n)| constraint!(sum(p) <= f64::from(*n))),
     );
-    bounds.extend(table.at_least.iter().map(|(p, n)| constraint!(sum(p) >= f64::from(*n))));
-    // Without any room: sums of whole numbers are exact, and the least room is used up by a fraction of a circuit in
-    // the relaxation, which then has to be branched away. Half a unit made 18 ms for 7 exchanges over 40 s.
-    bounds.extend(fixed.worth.map(|found| constraint!(worth >= found as f64)));
-    bounds.extend(fixed.cost.map(|found| constraint!(cost <= found as f64)));
-    for bound in bounds {
-        model = model.with(bound);
+    constraints.extend(formulation.lower_bounds.iter().map(|(p, n)| constraint!(sum(p) >= f64::from(*n))));
+    // No tolerance: sums of integers are exact, and the relaxation would use any tolerance for a fraction of a circuit,
+    // which then has to be removed by branching. A tolerance of half a unit raised the time for 7 exchanges from 18 ms to
+    // over 40 s.
+    constraints.extend(fixed.worth.map(|found| constraint!(worth >= found as f64)));
+    constraints.extend(fixed.cost.map(|found| constraint!(cost <= found as f64)));
+    for constraint in constraints {
+        model = model.with(constraint);
     }
     let solution = model.solve().map_err(|error| match error {
         ResolutionError::Infeasible => SolveError::Infeasible,
         error => SolveError::Solver(error.to_string()),
     })?;
-    Ok(at.iter().map(|variable| solution.value(*variable).round().max(0.0) as u32).collect())
+    Ok(handles.iter().map(|handle| solution.value(*handle).round().max(0.0) as u32).collect())
 }
--- a/crates/planner/tests/plans.rs
+++ b/crates/planner/tests/plans.rs
@@ -1,10 +1,12 @@
-//! Networks that are turned away, plans that are checked, and the search that tries every one.
+//! Tests of parsing networks, checking plans and the exhaustive search.
 
 use std::cmp::Ordering;
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use swiftlb_planner::{Flow, Network, Objective, Violation, canonical, check, exhaustive, objective};
+use swiftlb_planner::{
+    Flow, Network, Objective, Violation, check_plan, compare_canonical, exhaustive, objective,
+};
 
 const TRIANGLE: &str = r#"{"regions":["wien","linz"],
     "exchanges":[{"number":0,"region":"wien"},{"number":1,"region":"linz"},{"number":7,"region":"wien"}],
@@ -18,19 +20,19 @@
 }
 
 fn network(text: &str) -> Network {
-    Network::parse(text).expect("a network")
+    Network::parse(text).expect("a valid network")
 }
 
 #[test]
-fn a_network_is_read_whole_and_an_entry_that_makes_no_sense_is_named() {
-    let read = network(TRIANGLE);
-    assert_eq!((read.exchanges.len(), read.groups.len(), read.demands.len()), (3, 3, 2));
+fn network_is_parsed_and_invalid_entries_are_rejected_by_name() {
+    let parsed = network(TRIANGLE);
+    assert_eq!((parsed.exchanges.len(), parsed.groups.len(), parsed.demands.len()), (3, 3, 2));
     assert_eq!(
-        (read.groups[&(0, 1)].cost, read.demands[&(7, 1)].worth, read.tandem_cost),
+        (parsed.groups[&(0, 1)].cost, parsed.demands[&(7, 1)].worth, parsed.tandem_cost),
         (1_000_000, 1_000_000, 500_000)
     );
-    assert_eq!(read.routes(0, 1), [None, Some(7)]);
-    for (from, to, said) in [
+    assert_eq!(parsed.routes(0, 1), [None, Some(7)]);
+    for (from, to, message) in [
         (
             r#""circuits":2,"cost":1.0"#,
             r#""circuits":-2"#,
@@ -79,37 +81,40 @@
         (r#""tandem_cost":0.5"#, r#""tandem_cost":-0.5"#, "tandem_cost: expected a number from 0 to 1000000"),
     ] {
         assert!(TRIANGLE.contains(from), "{from}");
-        let error = Network::parse(&TRIANGLE.replacen(from, to, 1)).expect_err(said);
-        assert_eq!(error.to_string(), said);
+        let error = Network::parse(&TRIANGLE.replacen(from, to, 1)).expect_err(message);
+        assert_eq!(error.to_string(), message);
     }
     assert!(Network::parse("{").is_err_and(|error| error.to_string().starts_with("not JSON: ")));
-    assert_eq!(Network::parse("{}").expect_err("none").to_string(), "exchanges: expected two or more");
+    assert_eq!(
+        Network::parse("{}").expect_err("a network without exchanges").to_string(),
+        "exchanges: expected two or more"
+    );
     for cut in 0..TRIANGLE.len() {
         assert!(Network::parse(&TRIANGLE[..cut]).is_err(), "cut at {cut}");
     }
 }
 
 #[test]
-fn what_a_network_cannot_carry_is_said_whole() {
+fn check_reports_all_violations_of_a_plan() {
     let net = network(TRIANGLE);
-    let good = [flow(0, 1, None, 2), flow(0, 1, Some(7), 1), flow(7, 1, None, 2)];
-    assert_eq!(check(&net, &good), Ok(()));
-    // 2 x 1 direct, 1 x (0.5 + 0.25 + 0.5) over the tandem, 2 x 0.25; one circuit worth 2 is left.
-    assert_eq!(objective(&net, &good), Objective { uncarried: 2_000_000, cost: 3_750_000 });
-    let wrong = |flows: &[Flow]| check(&net, flows).expect_err("it cannot");
+    let valid = [flow(0, 1, None, 2), flow(0, 1, Some(7), 1), flow(7, 1, None, 2)];
+    assert_eq!(check_plan(&net, &valid), Ok(()));
+    // Cost: 2 x 1 direct, 1 x (0.5 + 0.25 + 0.5) over the tandem, 2 x 0.25. One circuit of worth 2 is not carried.
+    assert_eq!(objective(&net, &valid), Objective { uncarried_worth: 2_000_000, cost: 3_750_000 });
+    let violations = |flows: &[Flow]| check_plan(&net, flows).expect_err("a violation");
     let region = "wien".to_owned();
-    let full = [flow(0, 1, None, 3), flow(0, 1, Some(7), 2), flow(7, 1, None, 2)];
+    let overfull = [flow(0, 1, None, 3), flow(0, 1, Some(7), 2), flow(7, 1, None, 2)];
     assert_eq!(
-        wrong(&full),
+        violations(&overfull),
         [
-            Violation::TooMuch { from: 0, to: 1, carried: 5, asked: 4 },
-            Violation::GroupFull { between: (0, 1), used: 3, circuits: 2 },
-            Violation::GroupFull { between: (1, 7), used: 4, circuits: 3 },
-            Violation::RegionFull { region, used: 2, most: 1 },
+            Violation::ExceedsDemand { from: 0, to: 1, carried: 5, demanded: 4 },
+            Violation::GroupExceeded { between: (0, 1), used: 3, circuits: 2 },
+            Violation::GroupExceeded { between: (1, 7), used: 4, circuits: 3 },
+            Violation::TransitLimitExceeded { region, used: 2, max_circuits: 1 },
         ]
     );
-    assert_eq!(wrong(&[]), [Violation::TooLittle { from: 0, to: 1, carried: 0, must: 1 }]);
-    let strange = [
+    assert_eq!(violations(&[]), [Violation::BelowMinimum { from: 0, to: 1, carried: 0, min_circuits: 1 }]);
+    let invalid = [
         flow(0, 1, None, 1),
         flow(1, 0, None, 1),
         flow(0, 1, Some(1), 1),
@@ -117,41 +122,45 @@
         flow(7, 1, None, 0),
     ];
     assert_eq!(
-        wrong(&strange),
+        violations(&invalid),
         [
             Violation::NoDemand { from: 1, to: 0 },
-            Violation::NoWay { from: 0, to: 1, via: Some(1) },
-            Violation::NoWay { from: 0, to: 1, via: Some(9) },
-            Violation::Malformed { from: 7, to: 1 },
+            Violation::NoRoute { from: 0, to: 1, via: Some(1) },
+            Violation::NoRoute { from: 0, to: 1, via: Some(9) },
+            Violation::InvalidFlow { from: 7, to: 1 },
         ]
     );
     assert_eq!(
-        wrong(&[flow(0, 1, None, 1), flow(0, 1, None, 1)])[0],
-        Violation::Malformed { from: 0, to: 1 }
+        violations(&[flow(0, 1, None, 1), flow(0, 1, None, 1)])[0],
+        Violation::InvalidFlow { from: 0, to: 1 }
     );
-    assert_eq!(wrong(&strange)[1].to_string(), "flow from 0 to 1: there is no way over 1");
+    assert_eq!(violations(&invalid)[1].to_string(), "flow from 0 to 1: there is no way over 1");
 }
 
 #[test]
-fn the_search_finds_the_best_and_says_when_there_is_none() {
+fn exhaustive_search_finds_the_best_plan_or_none() {
     let net = network(TRIANGLE);
-    let best = exhaustive::best(&net).expect("there is one");
+    let best = exhaustive::best_plan(&net).expect("a plan");
     assert_eq!(best.flows, [flow(0, 1, None, 2), flow(0, 1, Some(7), 1), flow(7, 1, None, 2)]);
     assert_eq!(
-        exhaustive::best(&network(&TRIANGLE.replace(r#""must":1"#, r#""must":4"#))),
+        exhaustive::best_plan(&network(&TRIANGLE.replace(r#""must":1"#, r#""must":4"#))),
         None,
-        "the region binds"
+        "the transit limit of the region allows no plan"
     );
-    let wide = TRIANGLE.replace(r#""must":1"#, r#""must":4"#).replace(r#"{"wien":1}"#, r#"{"wien":2}"#);
-    let best = exhaustive::best(&network(&wide)).expect("now there is one");
+    let higher_limit =
+        TRIANGLE.replace(r#""must":1"#, r#""must":4"#).replace(r#"{"wien":1}"#, r#"{"wien":2}"#);
+    let best = exhaustive::best_plan(&network(&higher_limit)).expect("a plan with the higher transit limit");
     assert_eq!(best.flows, [flow(0, 1, None, 2), flow(0, 1, Some(7), 2), flow(7, 1, None, 1)]);
-    // No group at all between a pair, and a group of nothing.
-    let none = TRIANGLE.replace(r#""circuits":2,"cost":1.0"#, r#""circuits":0"#);
-    assert_eq!(exhaustive::best(&network(&none)).expect("over the tandem").flows[0], flow(0, 1, Some(7), 1));
+    // A group without circuits.
+    let no_direct = TRIANGLE.replace(r#""circuits":2,"cost":1.0"#, r#""circuits":0"#);
+    assert_eq!(
+        exhaustive::best_plan(&network(&no_direct)).expect("a plan over the tandem").flows[0],
+        flow(0, 1, Some(7), 1)
+    );
 }
 
 #[test]
-fn a_tie_goes_to_the_direct_way_and_then_to_the_lowest_tandem() {
+fn ties_prefer_the_direct_route_then_the_lowest_tandem() {
     let text = |direct: u32| {
         let pairs = [(0, 1, direct), (0, 2, 1), (1, 2, 1), (0, 3, 1), (1, 3, 1)];
         let group = |(a, b, n): (u32, u32, u32)| format!(r#"{{"between":[{a},{b}],"circuits":{n}}}"#);
@@ -162,15 +171,15 @@
             pairs.map(group).join(",")
         )
     };
-    assert_eq!(exhaustive::best(&network(&text(1))).expect("one").flows, [flow(0, 1, None, 1)]);
-    assert_eq!(exhaustive::best(&network(&text(0))).expect("one").flows, [flow(0, 1, Some(2), 1)]);
-    assert_eq!(canonical(&[flow(0, 1, None, 1)], &[flow(0, 1, Some(2), 1)]), Ordering::Less);
-    assert_eq!(canonical(&[flow(0, 1, None, 1)], &[flow(0, 1, None, 2)]), Ordering::Greater);
-    assert_eq!(canonical(&[], &[]), Ordering::Equal);
+    assert_eq!(exhaustive::best_plan(&network(&text(1))).expect("a plan").flows, [flow(0, 1, None, 1)]);
+    assert_eq!(exhaustive::best_plan(&network(&text(0))).expect("a plan").flows, [flow(0, 1, Some(2), 1)]);
+    assert_eq!(compare_canonical(&[flow(0, 1, None, 1)], &[flow(0, 1, Some(2), 1)]), Ordering::Less);
+    assert_eq!(compare_canonical(&[flow(0, 1, None, 1)], &[flow(0, 1, None, 2)]), Ordering::Greater);
+    assert_eq!(compare_canonical(&[], &[]), Ordering::Equal);
 }
 
-/// Networks of 3 or 4 exchanges with few circuits.
-fn small() -> impl Strategy<Value = String> {
+/// JSON of networks of 3 or 4 exchanges with few circuits.
+fn small_networks() -> impl Strategy<Value = String> {
     let groups = prop::collection::vec((0..3_u32, 0..3_u32), 6);
     let demands = prop::collection::vec((0..4_u32, 0..4_u32, 1..3_u32, 0..3_u32, 0..2_u32), 1..4);
     (3..5_u32, groups, demands, 0..3_u32).prop_map(|(nodes, groups, demands, transit)| {
@@ -181,13 +190,13 @@
             format!(r#"{{"between":[{a},{b}],"circuits":{circuits},"cost":{cost}}}"#)
         };
         let groups: Vec<String> = pairs.zip(&groups).map(group).collect();
-        let mut seen = Vec::new();
-        let mut asked = Vec::new();
+        let mut pairs_with_demand = Vec::new();
+        let mut demand_entries = Vec::new();
         for (from, to, circuits, worth, must) in demands {
             let (from, to) = (from % nodes, to % nodes);
-            if from != to && !seen.contains(&(from, to)) {
-                seen.push((from, to));
-                asked.push(format!(
+            if from != to && !pairs_with_demand.contains(&(from, to)) {
+                pairs_with_demand.push((from, to));
+                demand_entries.push(format!(
                     r#"{{"from":{from},"to":{to},"circuits":{circuits},"worth":{worth},"must":{}}}"#,
                     must.min(circuits)
                 ));
@@ -197,50 +206,51 @@
             r#"{{"regions":["a","b"],"exchanges":[{}],"groups":[{}],"demand":[{}],"limits":{{"transit":{{"a":{transit}}}}},"tandem_cost":1}}"#,
             exchanges.join(","),
             groups.join(","),
-            asked.join(",")
+            demand_entries.join(",")
         )
     })
 }
 
 #[test]
-fn no_plan_near_the_best_one_is_better_and_possible() {
+fn no_valid_plan_that_differs_by_one_circuit_is_better() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]);
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     TestRunner::new_with_rng(config, rng)
-        .run(&small(), |text| {
+        .run(&small_networks(), |text| {
             let net = network(&text);
-            let Some(best) = exhaustive::best(&net) else {
-                // None at all: then not even carrying as much as possible of one demand alone may satisfy the rest.
-                prop_assert!(check(&net, &[]).is_err());
+            let Some(best) = exhaustive::best_plan(&net) else {
+                // If there is no plan, the empty one is not valid either.
+                prop_assert!(check_plan(&net, &[]).is_err());
                 return Ok(());
             };
-            prop_assert_eq!(check(&net, &best.flows), Ok(()));
+            prop_assert_eq!(check_plan(&net, &best.flows), Ok(()));
             prop_assert_eq!(objective(&net, &best.flows), best.objective);
-            // One circuit more, less or moved elsewhere: whatever is possible then is no better, nor equal and earlier.
+            // With one circuit added, removed or moved to another route, a valid plan is worse, or equal and later in canonical
+            // order.
             for (from, to) in net.demands.keys().copied() {
                 for add in net.routes(from, to).into_iter().map(Some).chain([None]) {
-                    for take in net.routes(from, to).into_iter().map(Some).chain([None]) {
+                    for remove in net.routes(from, to).into_iter().map(Some).chain([None]) {
                         let mut flows = best.flows.clone();
-                        if let Some(via) = take {
-                            let Some(held) =
+                        if let Some(via) = remove {
+                            let Some(changed) =
                                 flows.iter_mut().find(|f| (f.from, f.to, f.via) == (from, to, via))
                             else {
                                 continue;
                             };
-                            held.circuits -= 1;
+                            changed.circuits -= 1;
                         }
                         if let Some(via) = add {
                             match flows.iter_mut().find(|f| (f.from, f.to, f.via) == (from, to, via)) {
-                                Some(held) => held.circuits += 1,
+                                Some(changed) => changed.circuits += 1,
                                 None => flows.push(flow(from, to, via, 1)),
                             }
                         }
                         flows.retain(|f| f.circuits > 0);
-                        if check(&net, &flows).is_ok() {
+                        if check_plan(&net, &flows).is_ok() {
                             let other = objective(&net, &flows);
-                            let first = canonical(&best.flows, &flows) != Ordering::Greater;
+                            let comes_first = compare_canonical(&best.flows, &flows) != Ordering::Greater;
                             prop_assert!(
-                                best.objective < other || (best.objective == other && first),
+                                best.objective < other || (best.objective == other && comes_first),
                                 "{:?}",
                                 flows
                             );
@@ -250,5 +260,5 @@
             }
             Ok(())
         })
-        .expect("no case fails");
+        .expect("no failing case");
 }
