--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -1,4 +1,4 @@
-//! Configuration file of a softswitch of the mesh, in the format of the platform.
+//! Configuration of a softswitch of the mesh, as the platform provides it.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
--- a/crates/emulator/src/loopback.rs
+++ b/crates/emulator/src/loopback.rs
@@ -45,7 +45,7 @@
     pub directory: PathBuf,
 }
 
-/// The two ends of a connection.
+/// What a connection is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     /// From a softswitch to an exchange.
@@ -109,7 +109,7 @@
     /// Opens all sockets, starts all softswitches and waits until they serve.
     ///
     /// # Errors
-    /// If a socket, file or process cannot be created, or a softswitch doesn't start; its log in the directory tells why.
+    /// If a socket, file or process cannot be created, or a softswitch doesn't start; its log shows why.
     pub fn start(options: RunOptions) -> io::Result<Self> {
         fs::create_dir_all(&options.directory)?;
         let nodes = options.scenario.nodes;
--- a/crates/emulator/src/model.rs
+++ b/crates/emulator/src/model.rs
@@ -186,7 +186,8 @@
     AttemptTimeout(u64),
     /// A caller redials.
     Redial(u64),
-    /// A processor finished the job of this number. The number tells it from jobs lost when a processor stopped.
+    /// The processor of an exchange finished a job. Jobs are numbered so that the timer of a job that was lost when the
+    /// processor stopped is ignored.
     JobDone(usize, u64),
     /// The parties of an established call end it.
     CallEnd(u64),
@@ -567,7 +568,8 @@
         }
     }
 
-    /// Handles the message of a softswitch about a call in transit: the tandem passes it back along the route.
+    /// Handles the message of a softswitch about a call in transit: the tandem passes it back to the exchange
+    /// that the call came from.
     fn handle_transit_message(
         &mut self,
         softswitch: usize,
@@ -639,7 +641,7 @@
     ) {
         match message {
             MessageToExchange::SetUp => {
-                if let Some(message) = self.accept_set_up(softswitch, exchange, call, out) {
+                if let Some(message) = self.handle_set_up(softswitch, exchange, call, out) {
                     self.send_to_softswitch(softswitch, exchange, call, message, out);
                 }
             }
@@ -669,8 +671,8 @@
         }
     }
 
-    /// Accepts a set-up into the queue of an exchange, or returns the message that refuses it.
-    fn accept_set_up(
+    /// Puts a set-up into the queue of an exchange. Returns the refusal if it cannot be accepted.
+    fn handle_set_up(
         &mut self,
         softswitch: usize,
         exchange: usize,
@@ -678,8 +680,8 @@
         out: &mut Vec<Output>,
     ) -> Option<MessageFromExchange> {
         let Some(state) = self.calls.get(&call) else {
-            // Not counted as a violation: the caller may just have abandoned the call, and that cannot be told from an id
-            // that never existed.
+            // Not counted as a violation: the caller may just have abandoned the call. An unknown id cannot be distinguished
+            // from that.
             return Some(MessageFromExchange::Ended(47, "", Duration::ZERO));
         };
         if state.legs.iter().any(|leg| leg.from == softswitch) {
@@ -731,7 +733,7 @@
         (COLD_INITIAL_SPEED + (1.0 - COLD_INITIAL_SPEED) * warm.min(1.0)) / state.slow_factor
     }
 
-    /// Time until the processor has worked off its queue.
+    /// Time until the processor has processed all set-ups of its queue at its present speed.
     fn processor_wait(&self, exchange: usize) -> Duration {
         let queued = self.exchanges[exchange].queue.len() as f64;
         Duration::from_secs_f64(queued * self.setup_work_s / self.speed(exchange))
@@ -750,8 +752,8 @@
         self.set_timer(self.now + Duration::from_secs_f64(work_s), Timer::JobDone(exchange, job));
     }
 
-    /// The processor of an exchange has processed a set-up: the call is answered here, or forwarded to its destination
-    /// if this exchange is a tandem. A second tandem is refused.
+    /// The processor of an exchange has processed a set-up. At its destination the call is answered. A tandem forwards it
+    /// through its own softswitch, unless that is down or the call has already passed a tandem.
     fn finish_job(&mut self, exchange: usize, job: u64, out: &mut Vec<Output>) {
         let state = &mut self.exchanges[exchange];
         if state.job != job || !state.busy || !state.running {
@@ -872,7 +874,7 @@
         }
     }
 
-    /// Stops the process of an exchange, which cuts all calls that pass it.
+    /// Stops the process of an exchange, which cuts all calls that start, end or pass there.
     fn stop_exchange(&mut self, node: usize, out: &mut Vec<Output>) {
         let state = &mut self.exchanges[node];
         (state.running, state.busy, state.stalled) = (false, false, false);
@@ -920,6 +922,7 @@
         self.lists.push((self.now, listed.collect()));
     }
 
+    /// Ends what depends on the softswitch: its open set-ups, and the attempts of its callers. Established calls continue.
     fn handle_softswitch_down(&mut self, softswitch: usize, out: &mut Vec<Output>) {
         self.softswitches[softswitch] = false;
         let mut calls: Vec<u64> = self.calls.keys().copied().collect();
--- a/crates/planner/src/plan.rs
+++ b/crates/planner/src/plan.rs
@@ -50,7 +50,7 @@
         to: u32,
     },
     /// The route does not exist.
-    #[error("flow from {from} to {to}: there is no way {}", via.map_or("straight there".to_owned(), |via| format!("over {via}")))]
+    #[error("flow from {from} to {to}: there is no way {}", via.map_or("by the direct route".to_owned(), |via| format!("over {via}")))]
     NoRoute {
         /// Number of the originating exchange.
         from: u32,
@@ -60,7 +60,7 @@
         via: Option<u32>,
     },
     /// A flow without circuits, or a second flow on the same route.
-    #[error("flow from {from} to {to}: expected each way once, with one circuit or more")]
+    #[error("flow from {from} to {to}: expected each route once, with one circuit or more")]
     InvalidFlow {
         /// Number of the originating exchange.
         from: u32,
