--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -1,7 +1,8 @@
-//! The terminal console: every softswitch and node, live through the operators' doors or played back from records.
+//! Terminal console that shows every softswitch and node, live over the HTTP interface for operators or played back from
+//! record files.
 //!
-//! [`Model`] is a pure function of what was fetched and of the time; [`view`] draws it on any backend; [`run`] and
-//! [`run_replay`] hold the terminal, the keys and the threads that fetch.
+//! [`Model`] is a pure function of the snapshots received and of the time; [`view`] draws it on any backend;
+//! [`run_live`] and [`run_replay`] control the terminal, handle keys and start the threads that poll.
 
 mod fetch;
 mod model;
@@ -9,7 +10,9 @@
 mod screen;
 pub mod view;
 
-pub use fetch::fetch;
-pub use model::{Model, NodeRow, Order, Seen, Snapshot, SnapshotError, SwitchRow, SwitchState};
+pub use fetch::fetch_snapshot;
+pub use model::{
+    ExchangeState, Model, NodeRow, Snapshot, SnapshotError, SoftswitchRow, SoftswitchState, SortOrder,
+};
 pub use replay::Replay;
-pub use screen::{run, run_replay};
+pub use screen::{run_live, run_replay};
--- a/crates/console/src/model.rs
+++ b/crates/console/src/model.rs
@@ -1,4 +1,4 @@
-//! What the console shows, as a pure function of what was fetched and of the time.
+//! Model of the console: what it shows, as a pure function of the snapshots received and of the time.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -6,60 +6,60 @@
 
 use tinyjson::JsonValue;
 
-/// A softswitch that has not answered for this long is silent.
-const SILENT: Duration = Duration::from_secs(3);
+/// Time without a snapshot after which a softswitch is shown as silent.
+const SILENT_AFTER: Duration = Duration::from_secs(3);
 
-/// An exchange as one softswitch sees it.
+/// State of an exchange as reported by one softswitch.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Seen {
-    /// Its number.
-    pub exchange: u32,
-    /// Its name.
+pub struct ExchangeState {
+    /// Number of the exchange.
+    pub number: u32,
+    /// Name of the exchange.
     pub name: String,
-    /// `ready`, `draining` or `gone`.
-    pub listing: String,
-    /// `up`, `opening`, `down` or `own`.
-    pub way: String,
-    /// Free circuits of the group and its size.
+    /// Readiness according to the list of exchanges: `ready`, `draining` or `gone`.
+    pub readiness: String,
+    /// Connection to the exchange: `up`, `opening` or `down`; `own` if it is the softswitch's home exchange.
+    pub connection: String,
+    /// Free circuits of the circuit group toward the exchange, and the size of the group.
     pub group: Option<(u32, u32)>,
-    /// Time since something came from it.
-    pub heard: Option<Duration>,
-    /// Time that a set-up is expected to take.
-    pub expected: Duration,
-    /// Attempts out there.
-    pub out: u32,
-    /// Calls that stand there.
-    pub standing: u32,
-    /// Calls of every class are kept from it.
+    /// Time since data last arrived from the exchange.
+    pub since_heard: Option<Duration>,
+    /// Expected set-up time.
+    pub expected_delay: Duration,
+    /// Number of open attempts to the exchange.
+    pub open_attempts: u32,
+    /// Number of established calls at the exchange.
+    pub established_calls: u32,
+    /// Whether the softswitch sends no calls of any class to the exchange.
     pub avoided: bool,
 }
 
-/// What one softswitch told of itself and of the fleet at one moment.
+/// State of one softswitch, and of the exchanges as it sees them, at one moment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// Its name.
+    /// Name of the softswitch.
     pub softswitch: String,
-    /// Number of its own exchange.
+    /// Number of its home exchange.
     pub home: Option<u32>,
-    /// Unix time in microseconds by its own clock.
+    /// Time of the snapshot by the clock of the softswitch, in Unix microseconds.
     pub at_us: u64,
-    /// Time since its start.
-    pub up: Duration,
-    /// It sends callers away.
+    /// Time since the start of its process.
+    pub uptime: Duration,
+    /// Whether it is draining and refuses new calls.
     pub draining: bool,
-    /// Calls that wait for an answer.
-    pub waiting: u32,
-    /// Calls that stand.
-    pub standing: u32,
-    /// Since its start: answered, refused, failed.
-    pub ended: (u64, u64, u64),
+    /// Number of calls that wait for an answer.
+    pub waiting_calls: u32,
+    /// Number of established calls.
+    pub established_calls: u32,
+    /// Calls answered, refused and failed since its start.
+    pub totals: (u64, u64, u64),
     /// Refusals since its start, by reason.
     pub refusals: BTreeMap<String, u64>,
-    /// The exchanges.
-    pub exchanges: Vec<Seen>,
+    /// State of each exchange.
+    pub exchanges: Vec<ExchangeState>,
 }
 
-/// Why an answer is no snapshot.
+/// Error of [`Snapshot::parse`]: the text is not a valid reply of `/edge/fleet`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotError(pub String);
 
@@ -73,179 +73,183 @@
 
 type Object = HashMap<String, JsonValue>;
 
-/// A field of an object, with an error that names it.
-struct Fields<'a>(&'a Object);
+/// Typed access to the fields of a JSON object; errors name the key.
+struct JsonFields<'a>(&'a Object);
 
-impl Fields<'_> {
-    fn wrong(key: &str) -> SnapshotError {
+impl JsonFields<'_> {
+    fn invalid(key: &str) -> SnapshotError {
         SnapshotError(format!("key {key} is missing or of the wrong type"))
     }
 
-    fn text(&self, key: &str) -> Result<String, SnapshotError> {
-        self.0.get(key).and_then(|value| value.get::<String>()).cloned().ok_or_else(|| Self::wrong(key))
+    fn string(&self, key: &str) -> Result<String, SnapshotError> {
+        self.0.get(key).and_then(|value| value.get::<String>()).cloned().ok_or_else(|| Self::invalid(key))
     }
 
-    fn flag(&self, key: &str) -> Result<bool, SnapshotError> {
-        self.0.get(key).and_then(|value| value.get::<bool>()).copied().ok_or_else(|| Self::wrong(key))
+    fn boolean(&self, key: &str) -> Result<bool, SnapshotError> {
+        self.0.get(key).and_then(|value| value.get::<bool>()).copied().ok_or_else(|| Self::invalid(key))
     }
 
-    /// A number, or nothing where it is null.
-    fn maybe(&self, key: &str) -> Result<Option<f64>, SnapshotError> {
+    /// A non-negative number, or `None` if the value is null. A missing key is an error.
+    fn number_or_null(&self, key: &str) -> Result<Option<f64>, SnapshotError> {
         match self.0.get(key) {
             Some(JsonValue::Null) => Ok(None),
             Some(JsonValue::Number(n)) if n.is_finite() && *n >= 0.0 => Ok(Some(*n)),
-            _ => Err(Self::wrong(key)),
+            _ => Err(Self::invalid(key)),
         }
     }
 
     fn number(&self, key: &str) -> Result<f64, SnapshotError> {
-        self.maybe(key)?.ok_or_else(|| Self::wrong(key))
+        self.number_or_null(key)?.ok_or_else(|| Self::invalid(key))
     }
 
-    fn span(&self, key: &str) -> Result<Duration, SnapshotError> {
-        Ok(span(self.number(key)?))
+    /// A duration given in milliseconds.
+    fn duration(&self, key: &str) -> Result<Duration, SnapshotError> {
+        Ok(duration_from_ms(self.number(key)?))
     }
 }
 
-fn span(ms: f64) -> Duration {
+fn duration_from_ms(ms: f64) -> Duration {
     Duration::from_millis(ms.clamp(0.0, 1e14) as u64)
 }
 
 impl Snapshot {
-    /// Reads what `/edge/fleet` answers.
+    /// Parses the body of a reply of `/edge/fleet`.
     ///
     /// # Errors
-    /// If it is not that; the error names the key.
+    /// If the text is not JSON or a key is missing or has a value of the wrong type; the error names the key.
     pub fn parse(text: &str) -> Result<Self, SnapshotError> {
         let json: JsonValue = text.parse().map_err(|error| SnapshotError(format!("not JSON: {error}")))?;
-        let object = |value: &JsonValue, what: &str| {
-            value.get::<Object>().cloned().ok_or_else(|| SnapshotError(format!("{what}: expected an object")))
+        let object = |value: &JsonValue, context: &str| {
+            value
+                .get::<Object>()
+                .cloned()
+                .ok_or_else(|| SnapshotError(format!("{context}: expected an object")))
         };
-        let top = object(&json, "the answer")?;
-        let top = Fields(&top);
+        let root = object(&json, "the answer")?;
+        let root = JsonFields(&root);
         let mut refusals = BTreeMap::new();
-        for (reason, count) in object(top.0.get("refusals").unwrap_or(&JsonValue::Null), "refusals")? {
-            let count = count.get::<f64>().copied().ok_or_else(|| Fields::wrong("refusals"))?;
+        for (reason, count) in object(root.0.get("refusals").unwrap_or(&JsonValue::Null), "refusals")? {
+            let count = count.get::<f64>().copied().ok_or_else(|| JsonFields::invalid("refusals"))?;
             refusals.insert(reason, count as u64);
         }
-        let list = top.0.get("exchanges").and_then(|value| value.get::<Vec<JsonValue>>());
+        let list = root.0.get("exchanges").and_then(|value| value.get::<Vec<JsonValue>>());
         let mut exchanges = Vec::new();
-        for entry in list.ok_or_else(|| Fields::wrong("exchanges"))? {
+        for entry in list.ok_or_else(|| JsonFields::invalid("exchanges"))? {
             let entry = object(entry, "exchanges")?;
-            let entry = Fields(&entry);
-            let (free, total) = (entry.maybe("free")?, entry.maybe("total")?);
-            exchanges.push(Seen {
-                exchange: entry.number("exchange")? as u32,
-                name: entry.text("name")?,
-                listing: entry.text("listing")?,
-                way: entry.text("way")?,
+            let entry = JsonFields(&entry);
+            let (free, total) = (entry.number_or_null("free")?, entry.number_or_null("total")?);
+            exchanges.push(ExchangeState {
+                number: entry.number("exchange")? as u32,
+                name: entry.string("name")?,
+                readiness: entry.string("listing")?,
+                connection: entry.string("way")?,
                 group: free.zip(total).map(|(free, total)| (free as u32, total as u32)),
-                heard: entry.maybe("heard_ms")?.map(span),
-                expected: entry.span("expected_ms")?,
-                out: entry.number("out")? as u32,
-                standing: entry.number("standing")? as u32,
-                avoided: entry.flag("avoided")?,
+                since_heard: entry.number_or_null("heard_ms")?.map(duration_from_ms),
+                expected_delay: entry.duration("expected_ms")?,
+                open_attempts: entry.number("out")? as u32,
+                established_calls: entry.number("standing")? as u32,
+                avoided: entry.boolean("avoided")?,
             });
         }
-        let count = |key| Ok::<u64, SnapshotError>(top.number(key)? as u64);
+        let count = |key| Ok::<u64, SnapshotError>(root.number(key)? as u64);
         Ok(Self {
-            softswitch: top.text("softswitch")?,
-            home: top.maybe("home")?.map(|home| home as u32),
+            softswitch: root.string("softswitch")?,
+            home: root.number_or_null("home")?.map(|home| home as u32),
             at_us: count("at_us")?,
-            up: top.span("up_ms")?,
-            draining: top.flag("draining")?,
-            waiting: top.number("waiting")? as u32,
-            standing: top.number("standing")? as u32,
-            ended: (count("answered")?, count("refused")?, count("failed")?),
+            uptime: root.duration("up_ms")?,
+            draining: root.boolean("draining")?,
+            waiting_calls: root.number("waiting")? as u32,
+            established_calls: root.number("standing")? as u32,
+            totals: (count("answered")?, count("refused")?, count("failed")?),
             refusals,
             exchanges,
         })
     }
 }
 
-/// One softswitch that is watched.
+/// A source of snapshots: one softswitch that is polled, or whose records are played back.
 #[derive(Clone, Debug)]
 struct Source {
-    /// Where it is asked, or its name in records.
-    place: String,
-    /// What it last told, and when by the console's own time.
-    last: Option<(Duration, Snapshot)>,
-    /// The same of the time before, for rates.
-    before: Option<(Duration, Snapshot)>,
-    /// Why it last did not answer.
-    trouble: Option<String>,
+    /// Address that is polled, or name of the softswitch in its records.
+    label: String,
+    /// Latest snapshot, and when it was received by the console's clock.
+    latest: Option<(Duration, Snapshot)>,
+    /// Snapshot before the latest, from which rates are computed; `None` after a restart of the softswitch.
+    previous: Option<(Duration, Snapshot)>,
+    /// Why the last poll failed, if it did.
+    error: Option<String>,
 }
 
 /// Whether a softswitch answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SwitchState {
+pub enum SoftswitchState {
     /// It answers.
     Live,
-    /// It answers, and sends callers away.
+    /// It answers, and it is draining.
     Draining,
-    /// It does not answer; what is shown of it is old.
+    /// It no longer answers; what is shown of it is out of date.
     Silent,
     /// It has never answered.
-    Unknown,
+    NeverAnswered,
 }
 
-/// A line of the table of softswitches.
+/// A row of the table of softswitches.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SwitchRow {
-    /// Its name, or where it is asked as long as that is not known.
+pub struct SoftswitchRow {
+    /// Name of the softswitch, or its address until the name is known.
     pub name: String,
     /// Whether it answers.
-    pub state: SwitchState,
-    /// How old its figures are; `None` if there are none.
+    pub state: SoftswitchState,
+    /// Age of its latest snapshot; `None` without one.
     pub age: Option<Duration>,
-    /// Calls that wait, and that stand.
+    /// Numbers of waiting and of established calls.
     pub calls: (u32, u32),
-    /// Answered, refused and failed a second, between the last two answers.
+    /// Calls answered, refused and failed per second, between the last two snapshots.
     pub rates: Option<(f64, f64, f64)>,
-    /// Why calls were refused most, with the part of all refusals since the start.
-    pub reason: Option<(String, f64)>,
-    /// Why it does not answer.
-    pub trouble: Option<String>,
+    /// Most frequent reason of refusals, and its share of all refusals since the start of the softswitch.
+    pub top_refusal: Option<(String, f64)>,
+    /// Why the last poll failed, if it did.
+    pub error: Option<String>,
 }
 
-/// A line of the table of nodes: what all softswitches that answer see of it.
+/// A row of the table of nodes: an exchange as seen by all softswitches that answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeRow {
-    /// Its number.
+    /// Number of the exchange.
     pub exchange: u32,
-    /// Its name.
+    /// Name of the exchange.
     pub name: String,
-    /// The worst that a list says: `gone`, `draining` or `ready`.
-    pub listing: String,
-    /// Ways that are up, of those that softswitches should have.
-    pub ways: (usize, usize),
-    /// The longest time that one expects a set-up to take: what its queue amounts to.
-    pub expected: Duration,
-    /// Free circuits and sizes of all groups toward it, where any tells.
+    /// Worst readiness that any softswitch has from its list: `gone`, `draining` or `ready`.
+    pub readiness: String,
+    /// Number of connections that are up, and number of softswitches that should have one.
+    pub connections: (usize, usize),
+    /// Longest set-up time that any softswitch expects, which shows how long the queue at the exchange is.
+    pub expected_delay: Duration,
+    /// Free circuits and total size of all groups toward the exchange; `None` if no softswitch reports a group.
     pub group: Option<(u32, u32)>,
-    /// Attempts out there, and calls that stand there.
+    /// Numbers of open attempts and of established calls.
     pub calls: (u32, u32),
-    /// Softswitches that keep calls from it.
-    pub avoided: usize,
-    /// How long ago the newest word came from it, the age of the figures included.
-    pub heard: Option<Duration>,
+    /// Number of softswitches that avoid the exchange.
+    pub avoided_by: usize,
+    /// Time since data last arrived from the exchange at any softswitch; includes the age of the snapshot.
+    pub since_heard: Option<Duration>,
 }
 
 impl NodeRow {
-    /// One word for its state, the worst first.
+    /// State of the node as shown on the screen; if several apply, the worst.
     pub fn state(&self) -> &'static str {
-        match (self.listing.as_str(), self.ways, self.avoided) {
+        match (self.readiness.as_str(), self.connections, self.avoided_by) {
             ("gone", ..) => "gone",
-            (_, (0, wanted), _) if wanted > 0 => "DOWN",
-            (_, (up, wanted), _) if up < wanted => "partly",
+            (_, (0, expected), _) if expected > 0 => "DOWN",
+            (_, (up, expected), _) if up < expected => "partly",
             ("draining", ..) => "drains",
-            (_, _, avoided) if avoided > 0 => "slow",
+            (_, _, avoided_by) if avoided_by > 0 => "slow",
             _ => "ok",
         }
     }
 
-    /// Worse nodes have greater numbers.
-    fn trouble(&self) -> u8 {
+    /// Rank of the state, from 0 for `ok` to the worst.
+    fn severity(&self) -> u8 {
         ["ok", "drains", "slow", "partly", "gone", "DOWN"]
             .iter()
             .position(|s| *s == self.state())
@@ -253,176 +257,182 @@
     }
 }
 
-/// By what the nodes are ordered.
+/// Sort order of the nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Order {
-    /// By number.
+pub enum SortOrder {
+    /// Ascending by number.
     #[default]
     Number,
-    /// The worst first.
-    Trouble,
-    /// The longest expected set-up time first.
-    Expected,
-    /// The fewest free circuits first.
-    Free,
-    /// The most attempts out first.
-    Out,
+    /// Worst state first.
+    Severity,
+    /// Longest expected set-up time first.
+    ExpectedDelay,
+    /// Fewest free circuits first; nodes without a known group last.
+    FreeCircuits,
+    /// Most open attempts first.
+    OpenAttempts,
 }
 
-impl Order {
-    const ALL: [Self; 5] = [Self::Number, Self::Trouble, Self::Expected, Self::Free, Self::Out];
+impl SortOrder {
+    const ALL: [Self; 5] =
+        [Self::Number, Self::Severity, Self::ExpectedDelay, Self::FreeCircuits, Self::OpenAttempts];
 
-    /// The next one.
+    /// The next order; after the last one the first again.
     #[must_use]
     pub fn next(self) -> Self {
-        let place = Self::ALL.iter().position(|order| *order == self).unwrap_or(0);
-        Self::ALL[(place + 1) % Self::ALL.len()]
+        let index = Self::ALL.iter().position(|order| *order == self).unwrap_or(0);
+        Self::ALL[(index + 1) % Self::ALL.len()]
     }
 
-    /// Its name.
-    pub fn name(self) -> &'static str {
+    /// Name of the order as shown in the footer.
+    pub fn label(self) -> &'static str {
         ["number", "trouble", "set-up time", "free circuits", "attempts out"]
             [Self::ALL.iter().position(|order| *order == self).unwrap_or(0)]
     }
 }
 
-/// Everything that is shown.
+/// State of the console.
 #[derive(Clone, Debug, Default)]
 pub struct Model {
     sources: Vec<Source>,
-    /// The present, by the console's own time.
+    /// Current time by the console's clock, or by the time of a playback.
     pub now: Duration,
-    /// Order of the nodes.
-    pub order: Order,
-    /// Only nodes with this in their name, number or state are shown.
+    /// Sort order of the nodes.
+    pub sort_order: SortOrder,
+    /// Only nodes with this text in their number, name or state are shown; case does not matter.
     pub filter: String,
-    /// The filter is being typed.
-    pub typing: bool,
-    /// First line of the nodes that is shown.
+    /// Whether the user is typing the filter.
+    pub editing_filter: bool,
+    /// Index of the first row of nodes that is shown.
     pub scroll: usize,
-    /// Said at the top: the playback's time and speed.
-    pub title: String,
+    /// Time and speed of a playback, shown in the header; empty for a live console.
+    pub playback_status: String,
 }
 
 impl Model {
-    /// Watches softswitches at these places.
-    pub fn new(places: impl IntoIterator<Item = String>) -> Self {
-        let source = |place| Source { place, last: None, before: None, trouble: None };
-        Self { sources: places.into_iter().map(source).collect(), ..Self::default() }
+    /// Creates a model with one source of snapshots per label.
+    pub fn new(labels: impl IntoIterator<Item = String>) -> Self {
+        let source = |label| Source { label, latest: None, previous: None, error: None };
+        Self { sources: labels.into_iter().map(source).collect(), ..Self::default() }
     }
 
-    /// Takes the answer of a source, or why there is none.
-    pub fn take(&mut self, source: usize, at: Duration, answer: Result<Snapshot, String>) {
+    /// Applies the result of polling the source with this index, received at this time of the console's clock.
+    pub fn update(&mut self, source: usize, at: Duration, result: Result<Snapshot, String>) {
         self.now = self.now.max(at);
         let Some(source) = self.sources.get_mut(source) else { return };
-        match answer {
+        match result {
             Ok(snapshot) => {
-                source.trouble = None;
-                // A process that has just started counts from nothing: its rates begin anew.
-                let goes_on = source.last.as_ref().is_some_and(|(_, last)| last.up <= snapshot.up);
-                source.before = source.last.take().filter(|_| goes_on);
-                source.last = Some((at, snapshot));
+                source.error = None;
+                // A restarted process counts from zero, so no rate can be computed from its predecessor's totals.
+                let same_process =
+                    source.latest.as_ref().is_some_and(|(_, latest)| latest.uptime <= snapshot.uptime);
+                source.previous = source.latest.take().filter(|_| same_process);
+                source.latest = Some((at, snapshot));
             }
-            Err(trouble) => source.trouble = Some(trouble),
+            Err(error) => source.error = Some(error),
         }
     }
 
-    fn state(&self, source: &Source) -> SwitchState {
-        match &source.last {
-            None => SwitchState::Unknown,
-            Some((at, _)) if self.now.saturating_sub(*at) >= SILENT => SwitchState::Silent,
-            Some((_, snapshot)) if snapshot.draining => SwitchState::Draining,
-            Some(_) => SwitchState::Live,
+    fn state(&self, source: &Source) -> SoftswitchState {
+        match &source.latest {
+            None => SoftswitchState::NeverAnswered,
+            Some((at, _)) if self.now.saturating_sub(*at) >= SILENT_AFTER => SoftswitchState::Silent,
+            Some((_, snapshot)) if snapshot.draining => SoftswitchState::Draining,
+            Some(_) => SoftswitchState::Live,
         }
     }
 
-    /// The softswitches, in the order in which they were named.
-    pub fn softswitches(&self) -> Vec<SwitchRow> {
+    /// The rows of the table of softswitches, in the order of the labels given to [`Self::new`].
+    pub fn softswitches(&self) -> Vec<SoftswitchRow> {
         let row = |source: &Source| {
             let state = self.state(source);
-            let snapshot = source.last.as_ref().map(|(_, snapshot)| snapshot);
-            let rates = source.last.as_ref().zip(source.before.as_ref()).and_then(|((_, b), (_, a))| {
+            let snapshot = source.latest.as_ref().map(|(_, snapshot)| snapshot);
+            let rates = source.latest.as_ref().zip(source.previous.as_ref()).and_then(|((_, b), (_, a))| {
                 let seconds = b.at_us.saturating_sub(a.at_us) as f64 / 1e6;
                 let rate = |b: u64, a: u64| b.saturating_sub(a) as f64 / seconds;
-                let all =
-                    (rate(b.ended.0, a.ended.0), rate(b.ended.1, a.ended.1), rate(b.ended.2, a.ended.2));
-                (seconds > 0.0 && state != SwitchState::Silent).then_some(all)
+                let rates = (
+                    rate(b.totals.0, a.totals.0),
+                    rate(b.totals.1, a.totals.1),
+                    rate(b.totals.2, a.totals.2),
+                );
+                (seconds > 0.0 && state != SoftswitchState::Silent).then_some(rates)
             });
-            let most = snapshot.and_then(|s| {
+            let top_reason = snapshot.and_then(|s| {
                 let all: u64 = s.refusals.values().sum();
                 let (reason, count) =
                     s.refusals.iter().max_by_key(|(reason, count)| (**count, reason.len()))?;
                 (all > 0).then(|| (reason.clone(), *count as f64 / all as f64))
             });
-            SwitchRow {
-                name: snapshot.map_or_else(|| source.place.clone(), |s| s.softswitch.clone()),
+            SoftswitchRow {
+                name: snapshot.map_or_else(|| source.label.clone(), |s| s.softswitch.clone()),
                 state,
-                age: source.last.as_ref().map(|(at, _)| self.now.saturating_sub(*at)),
-                calls: snapshot.map_or((0, 0), |s| (s.waiting, s.standing)),
+                age: source.latest.as_ref().map(|(at, _)| self.now.saturating_sub(*at)),
+                calls: snapshot.map_or((0, 0), |s| (s.waiting_calls, s.established_calls)),
                 rates,
-                reason: most,
-                trouble: source.trouble.clone(),
+                top_refusal: top_reason,
+                error: source.error.clone(),
             }
         };
         self.sources.iter().map(row).collect()
     }
 
-    /// The nodes that pass the filter, in order. Softswitches that are silent no longer count.
+    /// The nodes that match the filter, sorted. Snapshots of silent softswitches are ignored.
     pub fn nodes(&self) -> Vec<NodeRow> {
         let mut nodes: BTreeMap<u32, NodeRow> = BTreeMap::new();
         for source in &self.sources {
-            let live = matches!(self.state(source), SwitchState::Live | SwitchState::Draining);
-            let Some((at, snapshot)) = source.last.as_ref().filter(|_| live) else { continue };
+            let live = matches!(self.state(source), SoftswitchState::Live | SoftswitchState::Draining);
+            let Some((at, snapshot)) = source.latest.as_ref().filter(|_| live) else { continue };
             let age = self.now.saturating_sub(*at);
-            for seen in &snapshot.exchanges {
-                let row = nodes.entry(seen.exchange).or_insert_with(|| NodeRow {
-                    exchange: seen.exchange,
-                    name: seen.name.clone(),
-                    listing: seen.listing.clone(),
-                    ways: (0, 0),
-                    expected: Duration::ZERO,
+            for exchange in &snapshot.exchanges {
+                let row = nodes.entry(exchange.number).or_insert_with(|| NodeRow {
+                    exchange: exchange.number,
+                    name: exchange.name.clone(),
+                    readiness: exchange.readiness.clone(),
+                    connections: (0, 0),
+                    expected_delay: Duration::ZERO,
                     group: None,
                     calls: (0, 0),
-                    avoided: 0,
-                    heard: None,
+                    avoided_by: 0,
+                    since_heard: None,
                 });
-                add(row, seen, age);
+                merge_into_row(row, exchange, age);
             }
         }
         let mut rows: Vec<NodeRow> = nodes.into_values().collect();
-        let wanted = self.filter.to_lowercase();
+        let filter = self.filter.to_lowercase();
         rows.retain(|row| {
             let text = format!("{} {} {}", row.exchange, row.name, row.state()).to_lowercase();
-            text.contains(&wanted)
+            text.contains(&filter)
         });
-        match self.order {
-            Order::Number => {}
-            Order::Trouble => rows.sort_by_key(|row| std::cmp::Reverse(row.trouble())),
-            Order::Expected => rows.sort_by_key(|row| std::cmp::Reverse(row.expected)),
-            Order::Free => rows.sort_by_key(|row| row.group.map_or(u32::MAX, |(free, _)| free)),
-            Order::Out => rows.sort_by_key(|row| std::cmp::Reverse(row.calls.0)),
+        match self.sort_order {
+            SortOrder::Number => {}
+            SortOrder::Severity => rows.sort_by_key(|row| std::cmp::Reverse(row.severity())),
+            SortOrder::ExpectedDelay => rows.sort_by_key(|row| std::cmp::Reverse(row.expected_delay)),
+            SortOrder::FreeCircuits => rows.sort_by_key(|row| row.group.map_or(u32::MAX, |(free, _)| free)),
+            SortOrder::OpenAttempts => rows.sort_by_key(|row| std::cmp::Reverse(row.calls.0)),
         }
         rows
     }
 }
 
-/// Adds what one softswitch sees of a node.
-fn add(row: &mut NodeRow, seen: &Seen, age: Duration) {
-    let rank = |listing: &str| ["ready", "draining", "gone"].iter().position(|l| *l == listing).unwrap_or(0);
-    if rank(&seen.listing) > rank(&row.listing) {
-        row.listing.clone_from(&seen.listing);
+/// Merges one softswitch's state of an exchange, from a snapshot of this age, into the row of its node.
+fn merge_into_row(row: &mut NodeRow, exchange: &ExchangeState, age: Duration) {
+    let rank =
+        |readiness: &str| ["ready", "draining", "gone"].iter().position(|r| *r == readiness).unwrap_or(0);
+    if rank(&exchange.readiness) > rank(&row.readiness) {
+        row.readiness.clone_from(&exchange.readiness);
     }
-    if seen.way != "own" {
-        row.ways.1 += 1;
-        row.ways.0 += usize::from(seen.way == "up");
+    if exchange.connection != "own" {
+        row.connections.1 += 1;
+        row.connections.0 += usize::from(exchange.connection == "up");
     }
-    row.expected = row.expected.max(seen.expected);
-    if let Some((free, total)) = seen.group {
+    row.expected_delay = row.expected_delay.max(exchange.expected_delay);
+    if let Some((free, total)) = exchange.group {
         let (all_free, all_total) = row.group.unwrap_or_default();
         row.group = Some((all_free + free, all_total + total));
     }
-    row.calls = (row.calls.0 + seen.out, row.calls.1 + seen.standing);
-    row.avoided += usize::from(seen.avoided);
-    let heard = seen.heard.map(|heard| heard + age);
-    row.heard = row.heard.into_iter().chain(heard).min();
+    row.calls = (row.calls.0 + exchange.open_attempts, row.calls.1 + exchange.established_calls);
+    row.avoided_by += usize::from(exchange.avoided);
+    let since_heard = exchange.since_heard.map(|since_heard| since_heard + age);
+    row.since_heard = row.since_heard.into_iter().chain(since_heard).min();
 }
--- a/crates/console/src/replay.rs
+++ b/crates/console/src/replay.rs
@@ -1,4 +1,4 @@
-//! Playing records back: the same model, fed from what was recorded.
+//! Playback of record files: the console's model, fed with snapshots derived from recorded events.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,36 +6,38 @@
 use swiftlb_record::merge::{EntryContent, Merge, TimelineEntry};
 use swiftlb_record::{Archive, ConnectionChange, Event, ListedReadiness};
 
-use crate::model::{Model, Seen, Snapshot};
+use crate::model::{ExchangeState, Model, Snapshot};
 
-/// Snapshots are taken this often in the time that is played.
-const EVERY_US: u64 = 500_000;
+/// Interval between the snapshots given to the model, in recorded time.
+const SNAPSHOT_INTERVAL_US: u64 = 500_000;
 
-/// One softswitch as its records leave it.
+/// A softswitch at the current position of the playback, as derived from its records.
 #[derive(Clone, Debug, Default)]
-struct State {
-    runs: bool,
+struct RecordedSoftswitch {
+    running: bool,
     started_us: u64,
+    /// Values that need no computation; [`Self::snapshot`] adds the others.
     snapshot: Snapshot,
-    exchanges: BTreeMap<u32, Seen>,
-    heard_us: BTreeMap<u32, u64>,
-    /// Open calls, and where those stand that do.
-    waiting: BTreeMap<u64, ()>,
-    standing: BTreeMap<u64, u32>,
+    exchanges: BTreeMap<u32, ExchangeState>,
+    last_heard_us: BTreeMap<u32, u64>,
+    /// Ids of the calls that wait for an answer.
+    waiting_calls: BTreeMap<u64, ()>,
+    /// Established calls: id of the call and number of its exchange.
+    established_calls: BTreeMap<u64, u32>,
 }
 
-impl State {
-    fn seen(&mut self, exchange: u32) -> &mut Seen {
-        self.exchanges.entry(exchange).or_insert_with(|| Seen {
-            exchange,
-            name: format!("s-{exchange}"),
-            listing: "ready".to_owned(),
-            way: "down".to_owned(),
-            ..Seen::default()
+impl RecordedSoftswitch {
+    fn exchange_mut(&mut self, number: u32) -> &mut ExchangeState {
+        self.exchanges.entry(number).or_insert_with(|| ExchangeState {
+            number,
+            name: format!("s-{number}"),
+            readiness: "ready".to_owned(),
+            connection: "down".to_owned(),
+            ..ExchangeState::default()
         })
     }
 
-    fn see(&mut self, at: u64, event: &Event) {
+    fn apply(&mut self, at_us: u64, event: &Event) {
         if let Some(exchange) = event.exchange()
             && matches!(
                 event,
@@ -44,171 +46,177 @@
                     | Event::ExchangeConnection { change: ConnectionChange::Up, .. }
             )
         {
-            self.heard_us.insert(exchange, at);
+            self.last_heard_us.insert(exchange, at_us);
         }
         match event {
             Event::Started { home, .. } => {
                 let (softswitch, home) = (std::mem::take(&mut self.snapshot.softswitch), *home);
-                *self = Self { runs: true, started_us: at, ..Self::default() };
+                *self = Self { running: true, started_us: at_us, ..Self::default() };
                 (self.snapshot.softswitch, self.snapshot.home) = (softswitch, home);
             }
-            Event::Stopped => self.runs = false,
+            Event::Stopped => self.running = false,
             Event::Exchange { exchange, name, readiness, .. } => {
-                let own = self.snapshot.home == Some(*exchange);
-                let seen = self.seen(*exchange);
-                name.clone_into(&mut seen.name);
-                let word = match readiness {
+                let is_home = self.snapshot.home == Some(*exchange);
+                let state = self.exchange_mut(*exchange);
+                name.clone_into(&mut state.name);
+                let readiness = match readiness {
                     ListedReadiness::Ready => "ready",
                     ListedReadiness::Draining => "draining",
                     ListedReadiness::Removed => "gone",
                 };
-                word.clone_into(&mut seen.listing);
-                if own {
-                    "own".clone_into(&mut seen.way);
+                readiness.clone_into(&mut state.readiness);
+                if is_home {
+                    "own".clone_into(&mut state.connection);
                 }
             }
             Event::ExchangeConnection { exchange, change } => {
-                let word = if *change == ConnectionChange::Up { "up" } else { "down" };
-                word.clone_into(&mut self.seen(*exchange).way);
+                let connection = if *change == ConnectionChange::Up { "up" } else { "down" };
+                connection.clone_into(&mut self.exchange_mut(*exchange).connection);
             }
-            Event::Group { exchange, free, total } => self.seen(*exchange).group = Some((*free, *total)),
-            Event::Avoidance { exchange, avoided } => self.seen(*exchange).avoided = *avoided,
+            Event::Group { exchange, free, total } => {
+                self.exchange_mut(*exchange).group = Some((*free, *total))
+            }
+            Event::Avoidance { exchange, avoided } => self.exchange_mut(*exchange).avoided = *avoided,
             Event::ExpectedDelay { exchange, expected_ms, open_attempts } => {
-                let seen = self.seen(*exchange);
-                (seen.expected, seen.out) = (Duration::from_millis(u64::from(*expected_ms)), *open_attempts);
+                let state = self.exchange_mut(*exchange);
+                (state.expected_delay, state.open_attempts) =
+                    (Duration::from_millis(u64::from(*expected_ms)), *open_attempts);
             }
             Event::Drain { on, .. } => self.snapshot.draining = *on,
             Event::Stopping => self.snapshot.draining = true,
             Event::SetUp { call, .. } => {
-                self.waiting.insert(call.0, ());
+                self.waiting_calls.insert(call.0, ());
             }
             Event::Answered { call, exchange, .. } => {
-                self.waiting.remove(&call.0);
-                self.standing.insert(call.0, *exchange);
-                self.snapshot.ended.0 += 1;
+                self.waiting_calls.remove(&call.0);
+                self.established_calls.insert(call.0, *exchange);
+                self.snapshot.totals.0 += 1;
             }
             Event::Refused { call, reason, .. } => {
-                self.waiting.remove(&call.0);
-                self.snapshot.ended.1 += 1;
+                self.waiting_calls.remove(&call.0);
+                self.snapshot.totals.1 += 1;
                 *self.snapshot.refusals.entry(reason.label().to_owned()).or_default() += 1;
             }
             Event::Failed { call, .. } => {
-                self.waiting.remove(&call.0);
-                self.snapshot.ended.2 += 1;
+                self.waiting_calls.remove(&call.0);
+                self.snapshot.totals.2 += 1;
             }
             Event::Abandoned { call } => {
-                self.waiting.remove(&call.0);
+                self.waiting_calls.remove(&call.0);
             }
             Event::Released { call, .. } => {
-                self.standing.remove(&call.0);
+                self.established_calls.remove(&call.0);
             }
             _ => {}
         }
     }
 
-    fn snapshot(&self, at: u64) -> Snapshot {
-        let mut exchanges: Vec<Seen> =
-            self.exchanges.values().filter(|seen| seen.listing != "gone").cloned().collect();
-        for seen in &mut exchanges {
-            let heard = self.heard_us.get(&seen.exchange);
-            seen.heard = heard.map(|heard| Duration::from_micros(at.saturating_sub(*heard)));
-            seen.standing =
-                self.standing.values().filter(|exchange| **exchange == seen.exchange).count() as u32;
+    fn snapshot(&self, now_us: u64) -> Snapshot {
+        let mut exchanges: Vec<ExchangeState> =
+            self.exchanges.values().filter(|exchange| exchange.readiness != "gone").cloned().collect();
+        for exchange in &mut exchanges {
+            let heard_us = self.last_heard_us.get(&exchange.number);
+            exchange.since_heard =
+                heard_us.map(|heard_us| Duration::from_micros(now_us.saturating_sub(*heard_us)));
+            exchange.established_calls =
+                self.established_calls.values().filter(|number| **number == exchange.number).count() as u32;
         }
         Snapshot {
-            at_us: at,
-            up: Duration::from_micros(at.saturating_sub(self.started_us)),
-            waiting: self.waiting.len() as u32,
-            standing: self.standing.len() as u32,
+            at_us: now_us,
+            uptime: Duration::from_micros(now_us.saturating_sub(self.started_us)),
+            waiting_calls: self.waiting_calls.len() as u32,
+            established_calls: self.established_calls.len() as u32,
             exchanges,
             ..self.snapshot.clone()
         }
     }
 }
 
-/// Records that are played back.
+/// Playback of an archive of records.
 pub struct Replay {
     archive: Archive,
-    merge: Merge,
+    timeline: Merge,
+    /// Next entry of the timeline, not yet applied.
     next: Option<TimelineEntry>,
-    states: Vec<State>,
+    softswitches: Vec<RecordedSoftswitch>,
     model: Model,
     begin_us: u64,
-    at_us: u64,
-    taken_us: u64,
+    now_us: u64,
+    last_snapshot_us: u64,
 }
 
 impl Replay {
-    /// Begins at the first record.
+    /// Starts a playback at the first record.
     pub fn new(archive: Archive) -> Self {
-        let mut merge = Merge::open(&archive, (0, u64::MAX));
-        let names = merge.softswitches().to_vec();
-        let states = names.iter().map(|name| State {
+        let mut timeline = Merge::open(&archive, (0, u64::MAX));
+        let names = timeline.softswitches().to_vec();
+        let softswitches = names.iter().map(|name| RecordedSoftswitch {
             snapshot: Snapshot { softswitch: name.clone(), ..Snapshot::default() },
-            ..State::default()
+            ..RecordedSoftswitch::default()
         });
-        let states = states.collect();
-        let next = merge.next();
-        let begin_us = next.as_ref().map_or(0, |told| told.at_us);
+        let softswitches = softswitches.collect();
+        let next = timeline.next();
+        let begin_us = next.as_ref().map_or(0, |entry| entry.at_us);
         let model = Model::new(names);
-        Self { archive, merge, next, states, model, begin_us, at_us: begin_us, taken_us: 0 }
+        Self { archive, timeline, next, softswitches, model, begin_us, now_us: begin_us, last_snapshot_us: 0 }
     }
 
-    /// What is shown now.
+    /// The model at the current position.
     pub fn model(&mut self) -> &mut Model {
         &mut self.model
     }
 
-    /// The time that is shown, in Unix microseconds, and that since the beginning.
-    pub fn at(&self) -> (u64, Duration) {
-        (self.at_us, Duration::from_micros(self.at_us - self.begin_us))
+    /// Current position: Unix time in microseconds, and time since the first record.
+    pub fn position(&self) -> (u64, Duration) {
+        (self.now_us, Duration::from_micros(self.now_us - self.begin_us))
     }
 
-    /// Whether all is played.
-    pub fn is_over(&self) -> bool {
+    /// Whether all records have been played.
+    pub fn is_finished(&self) -> bool {
         self.next.is_none()
     }
 
-    /// Plays on for so much of the recorded time.
-    pub fn forward(&mut self, by: Duration) {
-        let until = self.at_us.saturating_add(by.as_micros() as u64);
-        while let Some(told) = self.next.take_if(|told| told.at_us <= until) {
-            self.at_us = self.at_us.max(told.at_us);
-            let state = &mut self.states[told.softswitch];
-            match &told.content {
-                EntryContent::Event(event) | EntryContent::Context(event) => state.see(told.at_us, event),
-                EntryContent::RunEnded { .. } => state.runs = false,
+    /// Advances the playback by this much recorded time.
+    pub fn advance(&mut self, by: Duration) {
+        let until_us = self.now_us.saturating_add(by.as_micros() as u64);
+        while let Some(entry) = self.next.take_if(|entry| entry.at_us <= until_us) {
+            self.now_us = self.now_us.max(entry.at_us);
+            let state = &mut self.softswitches[entry.softswitch];
+            match &entry.content {
+                EntryContent::Event(event) | EntryContent::Context(event) => state.apply(entry.at_us, event),
+                EntryContent::RunEnded { .. } => state.running = false,
                 EntryContent::Gap(_) => {}
             }
-            self.next = self.merge.next();
-            if self.at_us >= self.taken_us + EVERY_US {
-                self.take();
+            self.next = self.timeline.next();
+            if self.now_us >= self.last_snapshot_us + SNAPSHOT_INTERVAL_US {
+                self.update_model();
             }
         }
-        if !self.is_over() {
-            self.at_us = until;
+        if !self.is_finished() {
+            self.now_us = until_us;
         }
-        self.take();
+        self.update_model();
     }
 
-    fn take(&mut self) {
-        self.taken_us = self.at_us;
-        let now = Duration::from_micros(self.at_us - self.begin_us);
-        for (i, state) in self.states.iter().enumerate().filter(|(_, state)| state.runs) {
-            self.model.take(i, now, Ok(state.snapshot(self.at_us)));
+    /// Passes a snapshot of each running softswitch to the model.
+    fn update_model(&mut self) {
+        self.last_snapshot_us = self.now_us;
+        let now = Duration::from_micros(self.now_us - self.begin_us);
+        for (i, state) in self.softswitches.iter().enumerate().filter(|(_, state)| state.running) {
+            self.model.update(i, now, Ok(state.snapshot(self.now_us)));
         }
         self.model.now = now;
     }
 
-    /// Goes to a time since the beginning; back means from the beginning on.
+    /// Moves to a time since the first record. To move back, the records are played again from the first one.
     pub fn seek(&mut self, to: Duration) {
-        let (_, now) = self.at();
+        let (_, now) = self.position();
         if to < now {
-            let (order, filter) = (self.model.order, std::mem::take(&mut self.model.filter));
+            let (sort_order, filter) = (self.model.sort_order, std::mem::take(&mut self.model.filter));
             let archive = std::mem::take(&mut self.archive);
             *self = Self::new(archive);
-            (self.model.order, self.model.filter) = (order, filter);
+            (self.model.sort_order, self.model.filter) = (sort_order, filter);
         }
-        self.forward(to.saturating_sub(self.at().1));
+        self.advance(to.saturating_sub(self.position().1));
     }
 }
--- a/crates/console/src/screen.rs
+++ b/crates/console/src/screen.rs
@@ -1,4 +1,5 @@
-//! The terminal: keys, threads that fetch, and redrawing. Whatever ends it, the terminal is given back as it was.
+//! The interactive console: reads keys, polls the softswitches in threads and redraws the screen. The state of the
+//! terminal is restored when the console ends, also after an error or a panic.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,72 +10,73 @@
 use ratatui::DefaultTerminal;
 use ratatui::crossterm::event::{self, Event, KeyCode, KeyEvent, KeyEventKind, KeyModifiers};
 
-use crate::fetch::fetch;
+use crate::fetch::fetch_snapshot;
 use crate::model::{Model, Snapshot};
 use crate::replay::Replay;
 use crate::view;
 
-/// Each softswitch is asked this often, and has so long to answer.
-const EVERY: Duration = Duration::from_secs(1);
-const ANSWER: Duration = Duration::from_millis(900);
-/// Time between two looks at the keys.
-const FRAME: Duration = Duration::from_millis(100);
-/// A seek goes so far.
-const SEEK: Duration = Duration::from_secs(10);
+/// Interval between two polls of a softswitch.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Time that a softswitch has to answer a poll.
+const POLL_TIMEOUT: Duration = Duration::from_millis(900);
+/// Longest wait for a key before the screen is drawn again.
+const REDRAW_INTERVAL: Duration = Duration::from_millis(100);
+/// Recorded time that one key press moves the playback back or forward.
+const SEEK_STEP: Duration = Duration::from_secs(10);
 
-/// What a key asks for beyond the model.
+/// Command that a key stands for; `None` if the key is unknown or [`handle_key`] already applied it to the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asked {
-    Nothing,
-    End,
-    Pause,
+enum KeyCommand {
+    None,
+    Quit,
+    TogglePause,
     Faster,
     Slower,
-    Back,
-    On,
+    SeekBack,
+    SeekForward,
 }
 
-/// Changes the model by a key.
-fn press(model: &mut Model, key: KeyEvent) -> Asked {
+/// Handles a key: sort order, filter and scrolling are changed in the model, other commands are returned.
+fn handle_key(model: &mut Model, key: KeyEvent) -> KeyCommand {
     if key.kind == KeyEventKind::Release {
-        return Asked::Nothing;
+        return KeyCommand::None;
     }
     if key.modifiers.contains(KeyModifiers::CONTROL) && key.code == KeyCode::Char('c') {
-        return Asked::End;
+        return KeyCommand::Quit;
     }
-    if model.typing {
+    if model.editing_filter {
         match key.code {
-            KeyCode::Enter => model.typing = false,
+            KeyCode::Enter => model.editing_filter = false,
             KeyCode::Esc => {
-                model.typing = false;
+                model.editing_filter = false;
                 model.filter.clear();
             }
             KeyCode::Backspace => drop(model.filter.pop()),
             KeyCode::Char(c) => model.filter.push(c),
             _ => {}
         }
-        return Asked::Nothing;
+        return KeyCommand::None;
     }
     match key.code {
-        KeyCode::Char('q') => return Asked::End,
-        KeyCode::Char('s') => model.order = model.order.next(),
-        KeyCode::Char('/') => model.typing = true,
+        KeyCode::Char('q') => return KeyCommand::Quit,
+        KeyCode::Char('s') => model.sort_order = model.sort_order.next(),
+        KeyCode::Char('/') => model.editing_filter = true,
         KeyCode::Esc => model.filter.clear(),
         KeyCode::Down => model.scroll += 1,
         KeyCode::Up => model.scroll = model.scroll.saturating_sub(1),
-        KeyCode::Char(' ') => return Asked::Pause,
-        KeyCode::Char('+') => return Asked::Faster,
-        KeyCode::Char('-') => return Asked::Slower,
-        KeyCode::Left => return Asked::Back,
-        KeyCode::Right => return Asked::On,
+        KeyCode::Char(' ') => return KeyCommand::TogglePause,
+        KeyCode::Char('+') => return KeyCommand::Faster,
+        KeyCode::Char('-') => return KeyCommand::Slower,
+        KeyCode::Left => return KeyCommand::SeekBack,
+        KeyCode::Right => return KeyCommand::SeekForward,
         _ => {}
     }
-    Asked::Nothing
+    KeyCommand::None
 }
 
-/// The next key, within a frame's time; resizes only lead to the next frame.
-fn key() -> io::Result<Option<KeyEvent>> {
-    if !event::poll(FRAME)? {
+/// Waits up to [`REDRAW_INTERVAL`] for a key. Other events, such as a resize, end the wait without a key.
+fn next_key() -> io::Result<Option<KeyEvent>> {
+    if !event::poll(REDRAW_INTERVAL)? {
         return Ok(None);
     }
     Ok(match event::read()? {
@@ -83,87 +85,88 @@
     })
 }
 
-type Answer = (usize, Result<Snapshot, String>);
+/// Index of a source of the model, and the result of polling it.
+type PollResult = (usize, Result<Snapshot, String>);
 
-/// Asks one softswitch over and over, until nobody listens any more.
-fn watch(place: usize, address: SocketAddr, tell: &Sender<Answer>) {
+/// Polls one softswitch until the receiver of the results is dropped.
+fn poll_softswitch(source: usize, address: SocketAddr, results: &Sender<PollResult>) {
     loop {
         let begin = Instant::now();
-        if tell.send((place, fetch(address, ANSWER))).is_err() {
+        if results.send((source, fetch_snapshot(address, POLL_TIMEOUT))).is_err() {
             return;
         }
-        thread::sleep(EVERY.saturating_sub(begin.elapsed()));
+        thread::sleep(POLL_INTERVAL.saturating_sub(begin.elapsed()));
     }
 }
 
-/// Watches softswitches until the user ends it.
+/// Shows the softswitches at these addresses of their HTTP interface for operators until the user quits.
 ///
 /// # Errors
-/// Of the terminal.
-pub fn run(addresses: &[SocketAddr]) -> io::Result<()> {
-    let (tell, answers) = channel();
-    for (place, address) in addresses.iter().copied().enumerate() {
-        let tell = tell.clone();
+/// If a thread cannot be started or the terminal cannot be read or written.
+pub fn run_live(addresses: &[SocketAddr]) -> io::Result<()> {
+    let (results, result_queue) = channel();
+    for (source, address) in addresses.iter().copied().enumerate() {
+        let results = results.clone();
         thread::Builder::new()
             .name(format!("watch {address}"))
-            .spawn(move || watch(place, address, &tell))?;
+            .spawn(move || poll_softswitch(source, address, &results))?;
     }
-    ratatui::run(|terminal| live(terminal, addresses, &answers))
+    ratatui::run(|terminal| live_loop(terminal, addresses, &result_queue))
 }
 
-fn live(
+fn live_loop(
     terminal: &mut DefaultTerminal,
     addresses: &[SocketAddr],
-    answers: &Receiver<Answer>,
+    result_queue: &Receiver<PollResult>,
 ) -> io::Result<()> {
-    let begin = Instant::now();
+    let started = Instant::now();
     let mut model = Model::new(addresses.iter().map(ToString::to_string));
     loop {
-        model.now = begin.elapsed();
-        for (place, answer) in answers.try_iter() {
-            model.take(place, begin.elapsed(), answer);
+        model.now = started.elapsed();
+        for (source, result) in result_queue.try_iter() {
+            model.update(source, started.elapsed(), result);
         }
         terminal.draw(|frame| view::draw(frame, &model))?;
-        if key()?.is_some_and(|key| press(&mut model, key) == Asked::End) {
+        if next_key()?.is_some_and(|key| handle_key(&mut model, key) == KeyCommand::Quit) {
             return Ok(());
         }
     }
 }
 
-/// Plays records back until the user ends it.
+/// Plays records back until the user quits.
 ///
 /// # Errors
-/// Of the terminal.
+/// If the terminal cannot be read or written.
 pub fn run_replay(mut replay: Replay) -> io::Result<()> {
-    ratatui::run(|terminal| play(terminal, &mut replay))
+    ratatui::run(|terminal| replay_loop(terminal, &mut replay))
 }
 
-fn play(terminal: &mut DefaultTerminal, replay: &mut Replay) -> io::Result<()> {
+fn replay_loop(terminal: &mut DefaultTerminal, replay: &mut Replay) -> io::Result<()> {
     let (mut paused, mut speed) = (false, 1_u32);
-    let mut last = Instant::now();
+    let mut last_frame = Instant::now();
     loop {
-        let gone = std::mem::replace(&mut last, Instant::now()).elapsed();
+        let elapsed = std::mem::replace(&mut last_frame, Instant::now()).elapsed();
         if !paused {
-            replay.forward(gone * speed);
+            replay.advance(elapsed * speed);
         }
-        let (_, at) = replay.at();
-        let how = match (paused, replay.is_over()) {
+        let (_, position) = replay.position();
+        let status = match (paused, replay.is_finished()) {
             (_, true) => "the end".to_owned(),
             (true, _) => "paused".to_owned(),
             _ => format!("{speed}x"),
         };
-        replay.model().title = format!("recorded +{:.1}s {how}", at.as_secs_f64());
+        replay.model().playback_status = format!("recorded +{:.1}s {status}", position.as_secs_f64());
         let model = replay.model();
         terminal.draw(|frame| view::draw(frame, model))?;
-        let Some(key) = key()? else { continue };
-        match press(replay.model(), key) {
-            Asked::Nothing => {}
-            Asked::End => return Ok(()),
-            Asked::Pause => paused = !paused,
-            Asked::Faster => speed = (speed * 2).min(64),
-            Asked::Slower => speed = (speed / 2).max(1),
-            Asked::Back => replay.seek(at.saturating_sub(SEEK)),
-            Asked::On => replay.seek(at + SEEK),
+        let Some(key) = next_key()? else { continue };
+        match handle_key(replay.model(), key) {
+            KeyCommand::None => {}
+            KeyCommand::Quit => return Ok(()),
+            KeyCommand::TogglePause => paused = !paused,
+            KeyCommand::Faster => speed = (speed * 2).min(64),
+            KeyCommand::Slower => speed = (speed / 2).max(1),
+            KeyCommand::SeekBack => replay.seek(position.saturating_sub(SEEK_STEP)),
+            KeyCommand::SeekForward => replay.seek(position + SEEK_STEP),
         }
     }
 }
--- a/crates/console/tests/console.rs
+++ b/crates/console/tests/console.rs
@@ -1,28 +1,31 @@
-//! The console: what it makes of answers, what it draws at 80x24, and records played back.
+//! Tests of the console: the rows computed from snapshots, the screen at 80x24, the HTTP client and the playback of
+//! records.
 
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::time::Duration;
 
-use swiftlb_console::{Model, Order, Replay, Seen, Snapshot, SwitchState, fetch, view};
+use swiftlb_console::{
+    ExchangeState, Model, Replay, Snapshot, SoftswitchState, SortOrder, fetch_snapshot, view,
+};
 use swiftlb_record::{
     Archive, CallUid, ConnectionChange, Event, FileHeader, FileWriter, Front, ListedReadiness, Record,
     file_name,
 };
 
-const PATIENCE: Duration = Duration::from_secs(8);
+const TIMEOUT: Duration = Duration::from_secs(8);
 
-fn seen(exchange: u32, way: &str, free: u32, expected_ms: u64) -> Seen {
-    Seen {
-        exchange,
-        name: format!("s-{exchange}"),
-        listing: "ready".to_owned(),
-        way: way.to_owned(),
+fn exchange_state(number: u32, connection: &str, free: u32, expected_ms: u64) -> ExchangeState {
+    ExchangeState {
+        number,
+        name: format!("s-{number}"),
+        readiness: "ready".to_owned(),
+        connection: connection.to_owned(),
         group: Some((free, 100)),
-        heard: Some(Duration::from_millis(100)),
-        expected: Duration::from_millis(expected_ms),
-        out: exchange,
-        standing: 2,
+        since_heard: Some(Duration::from_millis(100)),
+        expected_delay: Duration::from_millis(expected_ms),
+        open_attempts: number,
+        established_calls: 2,
         avoided: false,
     }
 }
@@ -32,100 +35,107 @@
         softswitch: format!("n{node}"),
         home: Some(node),
         at_us: second * 1_000_000,
-        up: Duration::from_secs(second),
-        ended: (answered, 10, 1),
-        waiting: 3,
-        standing: 40,
+        uptime: Duration::from_secs(second),
+        totals: (answered, 10, 1),
+        waiting_calls: 3,
+        established_calls: 40,
         ..Snapshot::default()
     };
     snapshot.refusals.extend([("shed".to_owned(), 9), ("group-full".to_owned(), 1)]);
     snapshot.exchanges = (0..4)
-        .map(|n| if n == node { seen(n, "own", 0, 0) } else { seen(n, "up", 30 + 10 * n, 50 * u64::from(n)) })
+        .map(|n| {
+            if n == node {
+                exchange_state(n, "own", 0, 0)
+            } else {
+                exchange_state(n, "up", 30 + 10 * n, 50 * u64::from(n))
+            }
+        })
         .collect();
     snapshot
 }
 
-/// Two softswitches that answered twice, a second apart, and one that never did.
-fn model() -> Model {
+/// A model with two softswitches that answered twice, one second apart, and one that never answered.
+fn sample_model() -> Model {
     let mut model = Model::new(["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"].map(str::to_owned));
     for second in 1..=2 {
         let at = Duration::from_secs(second);
-        model.take(0, at, Ok(snapshot(0, second, 100 * second)));
-        model.take(1, at, Ok(snapshot(1, second, 50 * second)));
-        model.take(2, at, Err("connection refused".to_owned()));
+        model.update(0, at, Ok(snapshot(0, second, 100 * second)));
+        model.update(1, at, Ok(snapshot(1, second, 50 * second)));
+        model.update(2, at, Err("connection refused".to_owned()));
     }
     model
 }
 
 #[test]
-fn rates_ages_and_silence_are_functions_of_what_was_fetched_and_of_the_time() {
-    let mut model = model();
+fn rates_and_ages_are_computed_and_silent_softswitches_are_left_out_of_the_nodes() {
+    let mut model = sample_model();
     let rows = model.softswitches();
     assert_eq!(
         rows.iter().map(|row| row.state).collect::<Vec<_>>(),
-        [SwitchState::Live, SwitchState::Live, SwitchState::Unknown]
+        [SoftswitchState::Live, SoftswitchState::Live, SoftswitchState::NeverAnswered]
     );
     assert_eq!((rows[0].rates, rows[1].rates), (Some((100.0, 0.0, 0.0)), Some((50.0, 0.0, 0.0))));
-    assert_eq!(rows[0].reason, Some(("shed".to_owned(), 0.9)));
-    assert_eq!(
-        (rows[2].name.as_str(), rows[2].trouble.as_deref()),
-        ("10.0.0.3:1", Some("connection refused"))
-    );
-    // The first says nothing more: its figures grow old, then it is silent, and its view of the nodes no longer counts.
-    let all = model.nodes();
+    assert_eq!(rows[0].top_refusal, Some(("shed".to_owned(), 0.9)));
+    assert_eq!((rows[2].name.as_str(), rows[2].error.as_deref()), ("10.0.0.3:1", Some("connection refused")));
+    // The first softswitch stops answering: its snapshot ages, then it is shown as silent and no longer counts for the
+    // nodes.
+    let nodes_before = model.nodes();
     for second in 3..=6 {
-        model.take(0, Duration::from_secs(second), Err("timed out".to_owned()));
-        model.take(1, Duration::from_secs(second), Ok(snapshot(1, second, 50 * second)));
+        model.update(0, Duration::from_secs(second), Err("timed out".to_owned()));
+        model.update(1, Duration::from_secs(second), Ok(snapshot(1, second, 50 * second)));
     }
     let rows = model.softswitches();
     assert_eq!(
         (rows[0].state, rows[0].age, rows[0].rates),
-        (SwitchState::Silent, Some(Duration::from_secs(4)), None)
+        (SoftswitchState::Silent, Some(Duration::from_secs(4)), None)
     );
     let node = |rows: &[swiftlb_console::NodeRow], n: u32| {
-        rows.iter().find(|row| row.exchange == n).cloned().expect("it is there")
+        rows.iter().find(|row| row.exchange == n).cloned().expect("the node is listed")
     };
-    assert_eq!((node(&all, 2).ways, node(&model.nodes(), 2).ways), ((2, 2), (1, 1)));
-    assert_eq!((node(&all, 2).group, node(&model.nodes(), 2).group), (Some((100, 200)), Some((50, 100))));
-    assert_eq!(node(&all, 2).heard, Some(Duration::from_millis(100)));
-    // One that has started anew counts from nothing: no rate is made up for it.
-    model.take(1, Duration::from_secs(7), Ok(snapshot(1, 1, 7)));
+    assert_eq!((node(&nodes_before, 2).connections, node(&model.nodes(), 2).connections), ((2, 2), (1, 1)));
+    assert_eq!(
+        (node(&nodes_before, 2).group, node(&model.nodes(), 2).group),
+        (Some((100, 200)), Some((50, 100)))
+    );
+    assert_eq!(node(&nodes_before, 2).since_heard, Some(Duration::from_millis(100)));
+    // A restarted softswitch counts from zero, so there is no rate until its second snapshot.
+    model.update(1, Duration::from_secs(7), Ok(snapshot(1, 1, 7)));
     assert_eq!(model.softswitches()[1].rates, None);
 }
 
 #[test]
-fn nodes_are_sorted_and_filtered_and_the_worst_view_counts() {
-    let mut model = model();
-    let mut bad = snapshot(1, 3, 150);
-    bad.exchanges[2].way = "down".to_owned();
-    bad.exchanges[3].avoided = true;
-    let mut worse = snapshot(0, 3, 300);
-    worse.exchanges[2].way = "opening".to_owned();
-    model.take(1, Duration::from_secs(3), Ok(bad));
+fn nodes_are_sorted_and_filtered_and_show_the_worst_state_of_any_softswitch() {
+    let mut model = sample_model();
+    let mut exchange_2_down = snapshot(1, 3, 150);
+    exchange_2_down.exchanges[2].connection = "down".to_owned();
+    exchange_2_down.exchanges[3].avoided = true;
+    let mut exchange_2_opening = snapshot(0, 3, 300);
+    exchange_2_opening.exchanges[2].connection = "opening".to_owned();
+    model.update(1, Duration::from_secs(3), Ok(exchange_2_down));
     let states = |model: &Model| -> Vec<(u32, &'static str)> {
         model.nodes().iter().map(|row| (row.exchange, row.state())).collect()
     };
     assert_eq!(states(&model), [(0, "ok"), (1, "ok"), (2, "partly"), (3, "slow")]);
-    model.take(0, Duration::from_secs(3), Ok(worse));
-    model.order = Order::Trouble;
+    model.update(0, Duration::from_secs(3), Ok(exchange_2_opening));
+    model.sort_order = SortOrder::Severity;
     assert_eq!(states(&model)[..2], [(2, "DOWN"), (3, "slow")]);
-    model.order = Order::Expected;
+    model.sort_order = SortOrder::ExpectedDelay;
     assert_eq!(states(&model)[0].0, 3);
-    model.order = Order::Free;
+    model.sort_order = SortOrder::FreeCircuits;
     assert_eq!(states(&model)[0].0, 0);
     model.filter = "down".to_owned();
     assert_eq!(states(&model), [(2, "DOWN")]);
     model.filter = "S-3".to_owned();
     assert_eq!(states(&model), [(3, "slow")]);
-    let mut order = Order::Number;
+    let mut order = SortOrder::Number;
     (0..5).for_each(|_| order = order.next());
-    assert_eq!(order, Order::Number);
+    assert_eq!(order, SortOrder::Number);
 }
 
 #[test]
-fn it_is_drawn_at_80_by_24_and_survives_any_size() {
-    let mut model = model();
-    let text = view::text(&model, 80, 24);
+fn the_screen_fits_80_by_24_and_any_other_size_is_drawn_without_a_panic() {
+    let mut model = sample_model();
+    let text = view::render_text(&model, 80, 24);
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!((lines.len(), lines.iter().map(|line| line.chars().count()).max() <= Some(80)), (24, true));
     assert_eq!(lines[0], "swiftlb  2 softswitches live, 1 silent");
@@ -143,88 +153,96 @@
         ["3", "s-3", "ok", "2/2", "100ms", "150ms", "120/200", "6", "4", "-"]
     );
     assert!(lines[23].starts_with("q: end  s: sort (number)"), "{text}");
-    model.typing = true;
+    model.editing_filter = true;
     model.filter = "wien".to_owned();
-    assert!(view::text(&model, 80, 24).lines().last().is_some_and(|line| line.starts_with("/wien_")));
+    assert!(view::render_text(&model, 80, 24).lines().last().is_some_and(|line| line.starts_with("/wien_")));
     for (width, height) in [(1, 1), (10, 3), (79, 5), (80, 24), (300, 100), (2, 60)] {
-        assert_eq!(view::text(&model, width, height).lines().count(), usize::from(height));
+        assert_eq!(view::render_text(&model, width, height).lines().count(), usize::from(height));
     }
-    // Many softswitches leave room for the nodes, many nodes scroll.
-    let mut many = Model::new((0..60).map(|n| format!("10.0.0.{n}:1")));
+    // With many softswitches there is still room for nodes, and the list of nodes scrolls to its end.
+    let mut large = Model::new((0..60).map(|n| format!("10.0.0.{n}:1")));
     let mut snapshot = snapshot(0, 1, 1);
-    snapshot.exchanges = (0..200).map(|n| seen(n, "up", 1, 1)).collect();
-    many.take(0, Duration::ZERO, Ok(snapshot));
-    many.scroll = 10_000;
-    let text = view::text(&many, 80, 24);
+    snapshot.exchanges = (0..200).map(|n| exchange_state(n, "up", 1, 1)).collect();
+    large.update(0, Duration::ZERO, Ok(snapshot));
+    large.scroll = 10_000;
+    let text = view::render_text(&large, 80, 24);
     assert!(text.contains("s-199") && text.contains("10.0.0.5:1"), "{text}");
 }
 
 #[test]
-fn what_is_no_answer_is_said_with_the_key_and_never_a_panic() {
-    let whole = r#"{"softswitch":"n0","home":0,"at_us":5,"up_ms":7,"draining":false,"waiting":1,"standing":2,
+fn an_invalid_snapshot_is_an_error_that_names_the_key() {
+    let valid = r#"{"softswitch":"n0","home":0,"at_us":5,"up_ms":7,"draining":false,"waiting":1,"standing":2,
         "answered":3,"refused":4,"failed":5,"refusals":{"shed":4},"exchanges":[{"exchange":1,"name":"s-1",
         "listing":"ready","way":"up","free":null,"total":null,"heard_ms":null,"expected_ms":12,"out":1,"standing":2,"avoided":true}]}"#;
-    let read = Snapshot::parse(whole).expect("a snapshot");
-    assert_eq!((read.ended, read.exchanges[0].group, read.exchanges[0].avoided), ((3, 4, 5), None, true));
-    let wrong = |text: &str| Snapshot::parse(text).expect_err(text).to_string();
-    assert!(wrong("{").starts_with("not JSON"));
-    assert_eq!(wrong("[]"), "the answer: expected an object");
-    assert_eq!(wrong(&whole.replace("\"out\":1,", "")), "key out is missing or of the wrong type");
+    let snapshot = Snapshot::parse(valid).expect("a snapshot");
     assert_eq!(
-        wrong(&whole.replace("\"waiting\":1", "\"waiting\":-1")),
+        (snapshot.totals, snapshot.exchanges[0].group, snapshot.exchanges[0].avoided),
+        ((3, 4, 5), None, true)
+    );
+    let parse_error = |text: &str| Snapshot::parse(text).expect_err(text).to_string();
+    assert!(parse_error("{").starts_with("not JSON"));
+    assert_eq!(parse_error("[]"), "the answer: expected an object");
+    assert_eq!(parse_error(&valid.replace("\"out\":1,", "")), "key out is missing or of the wrong type");
+    assert_eq!(
+        parse_error(&valid.replace("\"waiting\":1", "\"waiting\":-1")),
         "key waiting is missing or of the wrong type"
     );
-    for cut in 0..whole.len() {
-        assert!(Snapshot::parse(&whole[..cut]).is_err(), "cut at {cut}");
+    for length in 0..valid.len() {
+        assert!(Snapshot::parse(&valid[..length]).is_err(), "truncated to {length} bytes");
     }
 }
 
 #[test]
-fn a_door_is_asked_and_what_is_wrong_there_is_said_in_few_words() {
-    let answer = |answer: &'static str| {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+fn fetching_a_snapshot_reports_http_errors_and_refused_connections_in_a_few_words() {
+    let fetch_reply = |reply: &'static str| {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("an address");
         let thread = std::thread::spawn(move || {
-            let (mut stream, _) = listener.accept().expect("a visitor");
-            let mut head = [0; 512];
-            let length = stream.read(&mut head).expect("a call");
-            assert!(head[..length].starts_with(b"GET /edge/fleet HTTP/1.1\r\n"));
-            stream.write_all(answer.as_bytes()).expect("it reads");
+            let (mut stream, _) = listener.accept().expect("a connection");
+            let mut request = [0; 512];
+            let length = stream.read(&mut request).expect("a request");
+            assert!(request[..length].starts_with(b"GET /edge/fleet HTTP/1.1\r\n"));
+            stream.write_all(reply.as_bytes()).expect("the reply is written");
         });
-        let fetched = fetch(address, PATIENCE);
-        thread.join().expect("it answered");
-        fetched
+        let result = fetch_snapshot(address, TIMEOUT);
+        thread.join().expect("the server thread ends");
+        result
     };
-    assert_eq!(answer("HTTP/1.1 404 Not Found\r\n\r\nno such path\n"), Err("fleet is off there".to_owned()));
-    assert_eq!(answer("HTTP/1.1 503 No\r\n\r\n"), Err("status 503".to_owned()));
-    assert_eq!(answer("SSH-2.0"), Err("no HTTP".to_owned()));
-    assert!(answer("HTTP/1.1 200 OK\r\n\r\n{}").is_err_and(|error| error.starts_with("refusals: ")));
-    let closed = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
-    assert_eq!(fetch(closed, PATIENCE), Err("connection refused".to_owned()));
+    assert_eq!(
+        fetch_reply("HTTP/1.1 404 Not Found\r\n\r\nno such path\n"),
+        Err("fleet is off there".to_owned())
+    );
+    assert_eq!(fetch_reply("HTTP/1.1 503 No\r\n\r\n"), Err("status 503".to_owned()));
+    assert_eq!(fetch_reply("SSH-2.0"), Err("no HTTP".to_owned()));
+    assert!(fetch_reply("HTTP/1.1 200 OK\r\n\r\n{}").is_err_and(|error| error.starts_with("refusals: ")));
+    let closed = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
+    assert_eq!(fetch_snapshot(closed, TIMEOUT), Err("connection refused".to_owned()));
 }
 
 #[test]
-fn records_are_played_back_and_forth() {
-    let folder = std::env::temp_dir().join(format!("swiftlb-replay-{}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let start = 1_800_000_000_000_000;
-    let head = FileHeader::first_of_run("n0", 0, start);
-    let mut writer = FileWriter::create(Vec::new(), &head).expect("memory");
-    let mut at = |ms: u64, event| writer.push(&Record { at_us: start + ms * 1_000, event }).expect("memory");
-    at(0, Event::Started { version: "0".to_owned(), home: Some(0), is_replacement: false });
-    let listed = |exchange: u32| {
+fn records_are_played_back_with_seeks_forward_and_back() {
+    let directory = std::env::temp_dir().join(format!("swiftlb-replay-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&directory);
+    std::fs::create_dir_all(&directory).expect("the directory is created");
+    let start_us = 1_800_000_000_000_000;
+    let header = FileHeader::first_of_run("n0", 0, start_us);
+    let mut writer = FileWriter::create(Vec::new(), &header).expect("a write to memory");
+    let mut record = |ms: u64, event| {
+        writer.push(&Record { at_us: start_us + ms * 1_000, event }).expect("a write to memory")
+    };
+    record(0, Event::Started { version: "0".to_owned(), home: Some(0), is_replacement: false });
+    let list_entry = |exchange: u32| {
         let name = format!("s-{exchange}");
         Event::Exchange { exchange, name, zone: 0, readiness: ListedReadiness::Ready, started_us: 0 }
     };
-    (0..2).for_each(|n| at(0, listed(n)));
-    at(10, Event::ExchangeConnection { exchange: 1, change: ConnectionChange::Up });
+    (0..2).for_each(|n| record(0, list_entry(n)));
+    record(10, Event::ExchangeConnection { exchange: 1, change: ConnectionChange::Up });
     for n in 0..300_u64 {
         let (call, front) = (CallUid(n), Front::JsonLines);
         if n == 201 {
-            at(20_100, Event::ExchangeConnection { exchange: 1, change: ConnectionChange::Lost });
+            record(20_100, Event::ExchangeConnection { exchange: 1, change: ConnectionChange::Lost });
         }
-        at(
+        record(
             100 * n + 20,
             Event::SetUp {
                 call,
@@ -236,25 +254,26 @@
                 front,
             },
         );
-        at(100 * n + 60, Event::Answered { call, exchange: 1, elapsed_us: 40_000 });
-        at(100 * n + 60, Event::Group { exchange: 1, free: 400 - n as u32, total: 400 });
+        record(100 * n + 60, Event::Answered { call, exchange: 1, elapsed_us: 40_000 });
+        record(100 * n + 60, Event::Group { exchange: 1, free: 400 - n as u32, total: 400 });
     }
-    at(31_000, Event::Stopped);
-    std::fs::write(folder.join(file_name(&head)), writer.finish().expect("memory")).expect("a file");
-    let mut replay = Replay::new(Archive::open(std::slice::from_ref(&folder)));
-    let mut look = |seconds: u64| {
+    record(31_000, Event::Stopped);
+    std::fs::write(directory.join(file_name(&header)), writer.finish().expect("a write to memory"))
+        .expect("the file is written");
+    let mut replay = Replay::new(Archive::open(std::slice::from_ref(&directory)));
+    let mut state_at = |seconds: u64| {
         replay.seek(Duration::from_secs(seconds));
         let model = replay.model();
-        let (switch, node) = (model.softswitches().remove(0), model.nodes().remove(1));
-        (switch.calls.1, switch.rates.map(|r| r.0.round()), node.group, node.state())
+        let (softswitch, node) = (model.softswitches().remove(0), model.nodes().remove(1));
+        (softswitch.calls.1, softswitch.rates.map(|r| r.0.round()), node.group, node.state())
     };
-    let ten = look(10);
-    assert_eq!(ten, (100, Some(10.0), Some((301, 400)), "ok"));
-    assert_eq!(look(25).3, "DOWN");
-    assert_eq!(look(10), ten, "back is the same as it was");
-    assert_eq!(look(29).0, 290);
-    assert!(!replay.is_over());
+    let state_at_10 = state_at(10);
+    assert_eq!(state_at_10, (100, Some(10.0), Some((301, 400)), "ok"));
+    assert_eq!(state_at(25).3, "DOWN");
+    assert_eq!(state_at(10), state_at_10, "seeking back gives the same state");
+    assert_eq!(state_at(29).0, 290);
+    assert!(!replay.is_finished());
     replay.seek(Duration::from_secs(60));
-    assert!(replay.is_over());
-    std::fs::remove_dir_all(&folder).expect("it was there");
+    assert!(replay.is_finished());
+    std::fs::remove_dir_all(&directory).expect("the directory is removed");
 }
