--- a/crates/ctl/src/console.rs
+++ b/crates/ctl/src/console.rs
@@ -7,7 +7,7 @@
 use swiftlb_console::{Model, Replay, fetch_snapshot, run_live, run_replay, view};
 use swiftlb_record::Archive;
 
-use crate::Failure;
+use crate::CommandError;
 
 const USAGE: &str = "\
 usage: swiftlbctl console ADDRESS ... [--once]
@@ -30,7 +30,7 @@
 /// Width and minimum height of the screen that `--once` prints, in columns and lines.
 const SCREEN_SIZE: (u16, u16) = (80, 24);
 
-pub fn run(mut parser: lexopt::Parser) -> Result<(), Failure> {
+pub fn run(mut parser: lexopt::Parser) -> Result<(), CommandError> {
     use lexopt::prelude::*;
     let (mut addresses, mut directories, mut once, mut at) = (Vec::new(), Vec::new(), false, 0.0);
     let mut replay = false;
@@ -48,11 +48,11 @@
             }
             Value(value) if replay => directories.push(PathBuf::from(value)),
             Value(value) => addresses.push(parse_address(&value.string()?)?),
-            _ => return Err(Failure::User(format!("{}\n{USAGE}", arg.unexpected()))),
+            _ => return Err(CommandError::InvalidInput(format!("{}\n{USAGE}", arg.unexpected()))),
         }
     }
     if !(0.0..1e9).contains(&at) {
-        return Err(Failure::User("--at: expected seconds after the first record".to_owned()));
+        return Err(CommandError::InvalidInput("--at: expected seconds after the first record".to_owned()));
     }
     match (replay, addresses.is_empty()) {
         (true, true) => play_back(&directories, Duration::from_secs_f64(at), once),
@@ -61,17 +61,19 @@
             Ok(())
         }
         (false, false) => Ok(run_live(&addresses)?),
-        (true, false) => {
-            Err(Failure::User("--replay: expected directories of records without addresses".to_owned()))
-        }
-        (false, true) => Err(Failure::User(format!("no address given\n{USAGE}"))),
+        (true, false) => Err(CommandError::InvalidInput(
+            "--replay: expected directories of records without addresses".to_owned(),
+        )),
+        (false, true) => Err(CommandError::InvalidInput(format!("no address given\n{USAGE}"))),
     }
 }
 
-fn parse_address(text: &str) -> Result<SocketAddr, Failure> {
+fn parse_address(text: &str) -> Result<SocketAddr, CommandError> {
     let address = text.to_socket_addrs().ok().and_then(|mut all| all.next());
     address.ok_or_else(|| {
-        Failure::User(format!("'{text}': expected HOST:PORT of a softswitch's HTTP interface for operators"))
+        CommandError::InvalidInput(format!(
+            "'{text}': expected HOST:PORT of a softswitch's HTTP interface for operators"
+        ))
     })
 }
 
@@ -97,13 +99,13 @@
     u16::try_from(2 * rows + 6).unwrap_or(u16::MAX).clamp(SCREEN_SIZE.1, 2_000)
 }
 
-fn play_back(directories: &[PathBuf], at: Duration, once: bool) -> Result<(), Failure> {
+fn play_back(directories: &[PathBuf], at: Duration, once: bool) -> Result<(), CommandError> {
     let archive = Archive::open(directories);
     for error in &archive.file_errors {
         eprintln!("swiftlbctl: {error}");
     }
     if archive.runs.is_empty() {
-        return Err(Failure::User("--replay: no usable record files found".to_owned()));
+        return Err(CommandError::InvalidInput("--replay: no usable record files found".to_owned()));
     }
     let mut replay = Replay::new(archive);
     replay.seek(at);
--- a/crates/ctl/src/demo.rs
+++ b/crates/ctl/src/demo.rs
@@ -1,4 +1,4 @@
-//! `swiftlbctl demo`: a mesh on loopback with an incident, recorded.
+//! `swiftlbctl demo`: runs a mesh on loopback with an incident and reports on its records.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use swiftlb_emulator::loopback::{LoopbackMesh, RunOptions, find_program};
 use swiftlb_emulator::{CLASSES, MeshModel, Scenario};
 
-use crate::Failure;
+use crate::CommandError;
 use crate::progress::Progress;
 use crate::report;
 
@@ -17,26 +17,28 @@
 usage: swiftlbctl demo [--seconds N] [--incident NAME|FILE] [--seed N] [--nodes N] [--rate N]
                        [--out DIR] [--program FILE] [--json]
 
-Starts a mesh on loopback (exchanges, callers and a resolver that are stand-ins, softswitches that are real), offers
-load, plays an incident, records it and tells its course from the records. Everything that it starts it stops, also on Ctrl-C.
+Starts a mesh on loopback: simulated exchanges, callers and resolver, and real softswitches. Offers load, plays an
+incident, records it and writes a report of the incidents found in the records. On exit, also by Ctrl-C, everything that
+it started is stopped.
 
-  --seconds N        how long calls are offered (60; 5 to 3600)
-  --incident NAME    calm, death, winter, stall or restart, or a script in JSON (death)
-  --seed N           the same seed offers the same calls (1)
-  --nodes N          nodes of the mesh (5; 2 to 32)
-  --rate N           calls a second over all nodes (40)
-  --out DIR          where configurations, logs, records and the report go (swiftlb-demo)
-  --program FILE     the softswitch (the one that lies beside this program)
-  --json             the summary as one JSON object on standard output
+  --seconds N        how long calls are offered (default: 60; 5 to 3600)
+  --incident NAME    calm, death, winter, stall or restart, or the file of a script in JSON (default: death)
+  --seed N           the same seed offers the same calls (default: 1)
+  --nodes N          number of nodes in the mesh (default: 5; 2 to 32)
+  --rate N           calls per second over all nodes (default: 40)
+  --out DIR          directory for configurations, logs, records and the report (default: swiftlb-demo)
+  --program FILE     the softswitch program (default: swiftlb in the directory of this program or its parent)
+  --json             print the summary as one JSON object on standard output
 
 example: swiftlbctl demo --seconds 60 --incident death --out /tmp/demo";
 
-/// How long softswitches may take to end: with the calls that stand, and when the user wants his terminal back.
-const IN_GOOD_ORDER: Duration = Duration::from_secs(13);
-const AT_ONCE: Duration = Duration::from_secs(1);
+/// Time that the softswitches have to stop after a complete run, in which established calls may end.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(13);
+/// Time that the softswitches have to stop after an interrupt by the user.
+const INTERRUPT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What was asked for.
-struct Asked {
+/// Options of the command line.
+struct Options {
     seconds: Option<f64>,
     incident: String,
     seed: u64,
@@ -47,9 +49,9 @@
     json: bool,
 }
 
-pub fn run(mut parser: lexopt::Parser) -> Result<(), Failure> {
+pub fn run(mut parser: lexopt::Parser) -> Result<(), CommandError> {
     use lexopt::prelude::*;
-    let mut asked = Asked {
+    let mut options = Options {
         seconds: None,
         incident: "death".to_owned(),
         seed: 1,
@@ -62,114 +64,128 @@
     while let Some(arg) = parser.next()? {
         match arg {
             Long("seconds") => {
-                asked.seconds = Some(within("--seconds", parser.value()?.parse()?, 5.0, 3_600.0)?)
+                options.seconds = Some(check_range("--seconds", parser.value()?.parse()?, 5.0, 3_600.0)?)
             }
-            Long("incident") => asked.incident = parser.value()?.string()?,
-            Long("seed") => asked.seed = parser.value()?.parse()?,
+            Long("incident") => options.incident = parser.value()?.string()?,
+            Long("seed") => options.seed = parser.value()?.parse()?,
             Long("nodes") => {
-                asked.nodes = Some(within("--nodes", parser.value()?.parse()?, 2.0, 32.0)? as usize)
+                options.nodes = Some(check_range("--nodes", parser.value()?.parse()?, 2.0, 32.0)? as usize)
             }
-            Long("rate") => asked.rate = Some(within("--rate", parser.value()?.parse()?, 0.1, 2_000.0)?),
-            Long("out") => asked.out = PathBuf::from(parser.value()?),
-            Long("program") => asked.program = Some(PathBuf::from(parser.value()?)),
-            Long("json") => asked.json = true,
+            Long("rate") => {
+                options.rate = Some(check_range("--rate", parser.value()?.parse()?, 0.1, 2_000.0)?)
+            }
+            Long("out") => options.out = PathBuf::from(parser.value()?),
+            Long("program") => options.program = Some(PathBuf::from(parser.value()?)),
+            Long("json") => options.json = true,
             Long("help") | Short('h') => {
                 println!("{USAGE}");
                 return Ok(());
             }
-            _ => return Err(Failure::User(format!("{}\n{USAGE}", arg.unexpected()))),
+            _ => return Err(CommandError::InvalidInput(format!("{}\n{USAGE}", arg.unexpected()))),
         }
     }
-    play(&asked)
+    run_demo(&options)
 }
 
-fn within(option: &str, value: f64, least: f64, most: f64) -> Result<f64, Failure> {
-    let good = (least..=most).contains(&value);
-    if good {
+fn check_range(option: &str, value: f64, min: f64, max: f64) -> Result<f64, CommandError> {
+    let valid = (min..=max).contains(&value);
+    if valid {
         Ok(value)
     } else {
-        Err(Failure::User(format!("{option}: expected a number from {least} to {most}")))
+        Err(CommandError::InvalidInput(format!("{option}: expected a number from {min} to {max}")))
     }
 }
 
-/// A scenario that is built in, or a script.
-fn scenario(asked: &Asked) -> Result<Scenario, Failure> {
-    let usual = Duration::from_secs(60);
-    let lasts = asked.seconds.map(Duration::from_secs_f64);
-    let mut scenario = if Path::new(&asked.incident).is_file() {
-        let wrong = |error: &dyn std::fmt::Display| Failure::User(format!("{}: {error}", asked.incident));
-        let text = std::fs::read_to_string(&asked.incident).map_err(|error| wrong(&error))?;
-        let script = Scenario::parse(&text).map_err(|error| wrong(&error))?;
-        Scenario { duration: lasts.unwrap_or(script.duration), ..script }
+/// Loads the scenario of `--incident`, a script if there is such a file and otherwise a built-in one, and applies the
+/// other options to it.
+fn load_scenario(options: &Options) -> Result<Scenario, CommandError> {
+    let default_duration = Duration::from_secs(60);
+    let duration = options.seconds.map(Duration::from_secs_f64);
+    let mut scenario = if Path::new(&options.incident).is_file() {
+        let script_error = |error: &dyn std::fmt::Display| {
+            CommandError::InvalidInput(format!("{}: {error}", options.incident))
+        };
+        let text = std::fs::read_to_string(&options.incident).map_err(|error| script_error(&error))?;
+        let script = Scenario::parse(&text).map_err(|error| script_error(&error))?;
+        Scenario { duration: duration.unwrap_or(script.duration), ..script }
     } else {
-        let named = Scenario::built_in(&asked.incident, lasts.unwrap_or(usual));
-        named.map_err(|error| Failure::User(format!("--incident: {error}")))?
+        let built_in = Scenario::built_in(&options.incident, duration.unwrap_or(default_duration));
+        built_in.map_err(|error| CommandError::InvalidInput(format!("--incident: {error}")))?
     };
-    scenario.nodes = asked.nodes.unwrap_or(scenario.nodes);
-    scenario.calls_per_s = asked.rate.unwrap_or(scenario.calls_per_s);
-    let last = scenario.incidents.iter().map(|incident| incident.node).max().unwrap_or(0);
-    if last >= scenario.nodes {
-        return Err(Failure::User(format!(
-            "--nodes: the incident is at node {last}: expected {} or more",
-            last + 1
+    scenario.nodes = options.nodes.unwrap_or(scenario.nodes);
+    scenario.calls_per_s = options.rate.unwrap_or(scenario.calls_per_s);
+    let highest_node = scenario.incidents.iter().map(|incident| incident.node).max().unwrap_or(0);
+    if highest_node >= scenario.nodes {
+        return Err(CommandError::InvalidInput(format!(
+            "--nodes: the incident is at node {highest_node}: expected {} or more",
+            highest_node + 1
         )));
     }
     Ok(scenario)
 }
 
-fn play(asked: &Asked) -> Result<(), Failure> {
-    let scenario = scenario(asked)?;
+fn run_demo(options: &Options) -> Result<(), CommandError> {
+    let scenario = load_scenario(options)?;
     let missing = || {
-        let how = "build it with 'cargo build --release --workspace', or name it with --program";
-        Failure::User(format!("no softswitch lies beside this program: {how}"))
+        let advice = "build it with 'cargo build --release --workspace', or give its path with --program";
+        CommandError::InvalidInput(format!(
+            "no softswitch program 'swiftlb' in the directory of this program or its parent: {advice}"
+        ))
     };
-    let program = match &asked.program {
+    let program = match &options.program {
         Some(program) => program.clone(),
         None => find_program(&std::env::current_exe()?, "swiftlb").ok_or_else(missing)?,
     };
-    // A folder of its own for each play: records of an earlier one would be told with this one's.
-    let stamp = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
-    let folder = asked.out.join(format!("{stamp}"));
-    let stop = Arc::new(AtomicBool::new(false));
+    // Each run gets its own directory; otherwise the report would include the records of earlier runs.
+    let timestamp = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
+    let directory = options.out.join(format!("{timestamp}"));
+    let interrupted = Arc::new(AtomicBool::new(false));
     for signal in [SIGINT, SIGTERM] {
-        signal_hook::flag::register(signal, Arc::clone(&stop))?;
+        signal_hook::flag::register(signal, Arc::clone(&interrupted))?;
     }
-    let lasts = scenario.duration;
-    let options = RunOptions { scenario, seed: asked.seed, program, directory: folder.clone() };
+    let duration = scenario.duration;
+    let run_options = RunOptions { scenario, seed: options.seed, program, directory: directory.clone() };
     let mut progress = Progress::new();
-    progress.say("starting the softswitches ...");
-    let mut mesh = LoopbackMesh::start(options)?;
-    while mesh.run(Duration::from_millis(250))? && !stop.load(Ordering::Relaxed) {
-        let (now, what) = (mesh.elapsed().as_secs_f64(), line(mesh.model()));
-        progress.say(&match now < lasts.as_secs_f64() {
-            true => format!("{now:3.0} of {:.0} s   {what}", lasts.as_secs_f64()),
-            false => format!("the last calls end   {what}"),
+    progress.show("starting the softswitches ...");
+    let mut mesh = LoopbackMesh::start(run_options)?;
+    while mesh.run(Duration::from_millis(250))? && !interrupted.load(Ordering::Relaxed) {
+        let (elapsed, counts) = (mesh.elapsed().as_secs_f64(), progress_counts(mesh.model()));
+        progress.show(&match elapsed < duration.as_secs_f64() {
+            true => format!("{elapsed:3.0} of {:.0} s   {counts}", duration.as_secs_f64()),
+            false => format!("waiting for the last calls to end   {counts}"),
         });
     }
-    progress.say("stopping the softswitches ...");
-    mesh.shut_down(if stop.load(Ordering::Relaxed) { AT_ONCE } else { IN_GOOD_ORDER });
+    progress.show("stopping the softswitches ...");
+    mesh.shut_down(if interrupted.load(Ordering::Relaxed) { INTERRUPT_TIMEOUT } else { SHUTDOWN_TIMEOUT });
     drop(progress);
-    if stop.load(Ordering::Relaxed) {
-        return Err(Failure::Interrupted);
+    if interrupted.load(Ordering::Relaxed) {
+        return Err(CommandError::Interrupted);
     }
     let report = report::build(&[mesh.records_directory()], (0, u64::MAX))?;
-    let page = folder.join("report.html");
-    report::write(&report, &page, Some(&folder.join("events.jsonl")))?;
-    if asked.json {
-        println!("{}", json(mesh.model(), &folder));
+    let page = directory.join("report.html");
+    report::write(&report, &page, Some(&directory.join("events.jsonl")))?;
+    if options.json {
+        println!("{}", summary_json(mesh.model(), &directory));
     } else {
-        print!("{}{}", summary(mesh.model(), &folder), report::summary(&report, &page));
+        print!("{}{}", summary(mesh.model(), &directory), report::summary(&report, &page));
     }
     Ok(())
 }
 
-fn line(model: &MeshModel) -> String {
-    let sum = |of: fn(&swiftlb_emulator::ClassTotals) -> u64| model.totals().iter().map(of).sum::<u64>();
-    let (offered, stood) = (sum(|s| s.offered), sum(|s| s.in_time + s.late));
-    format!("{offered} calls, {stood} stood, {} not served, {} cut", sum(|s| s.unserved), sum(|s| s.cut))
+/// Numbers of calls so far, for the progress line.
+fn progress_counts(model: &MeshModel) -> String {
+    let sum =
+        |count: fn(&swiftlb_emulator::ClassTotals) -> u64| model.totals().iter().map(count).sum::<u64>();
+    let (offered, established) = (sum(|s| s.offered), sum(|s| s.in_time + s.late));
+    format!(
+        "{offered} calls, {established} established, {} not served, {} cut",
+        sum(|s| s.unserved),
+        sum(|s| s.cut)
+    )
 }
 
-fn summary(model: &MeshModel, folder: &Path) -> String {
+/// Summary for standard output: a table of the calls of each class, and where the records are.
+fn summary(model: &MeshModel, directory: &Path) -> String {
     let mut text = format!(
         "{:<14}{:>9}{:>9}{:>9}{:>12}{:>9}\n",
         "class", "offered", "in time", "late", "not served", "cut"
@@ -181,11 +197,12 @@
         );
     }
     text += &format!("service {:.3}, rules broken {}\n", model.service_level(), model.protocol_violations());
-    text += &format!("records: {}\n", folder.join("records").display());
+    text += &format!("records: {}\n", directory.join("records").display());
     text
 }
 
-fn json(model: &MeshModel, folder: &Path) -> String {
+/// Summary as a JSON object, for `--json`.
+fn summary_json(model: &MeshModel, directory: &Path) -> String {
     let classes: Vec<String> = CLASSES
         .iter()
         .zip(model.totals())
@@ -200,7 +217,7 @@
         "{{\"service\":{:.4},\"broken\":{},\"folder\":{:?},\"classes\":[{}]}}",
         model.service_level(),
         model.protocol_violations(),
-        folder.display().to_string(),
+        directory.display().to_string(),
         classes.join(",")
     )
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command: `swiftlbctl VERB`. See `swiftlbctl --help`.
+//! Command-line tool for operators, with one subcommand per task. See `swiftlbctl --help`.
 
 mod console;
 mod demo;
@@ -11,66 +11,71 @@
 use thiserror::Error;
 
 const USAGE: &str = "\
-usage: swiftlbctl VERB [OPTION ...]
+usage: swiftlbctl COMMAND [OPTION ...]
 
-  console   watch the fleet in a terminal, live or from records
-  demo      play a mesh with an incident on loopback, record it and tell its course
-  report    tell an incident's course from records, as a page
+  console   show all softswitches and exchanges in a terminal, live or from records
+  demo      run a mesh with an incident on loopback, record it and write a report of it
+  report    write a report of the incidents found in records, as an HTML page
 
-swiftlbctl VERB --help says what a verb takes, with an example.";
+swiftlbctl COMMAND --help describes the options of a command, with an example.";
 
-/// Why a verb did not do its work.
+/// Why a command failed. The variant determines the exit code.
 #[derive(Debug, Error)]
-enum Failure {
-    /// The user's words, a file or a setting.
+enum CommandError {
+    /// Invalid arguments, or a file that is missing or invalid: exit code 2.
     #[error("{0}")]
-    User(String),
-    /// The system, or something that is no fault of the user's.
+    InvalidInput(String),
+    /// I/O error that is not due to the arguments or to a file that the user named: exit code 1.
     #[error("{0}")]
-    System(#[from] std::io::Error),
-    /// Ended by the user.
+    Io(#[from] std::io::Error),
+    /// Interrupted by a signal: exit code 130.
     #[error("interrupted")]
     Interrupted,
 }
 
-impl From<lexopt::Error> for Failure {
+impl From<lexopt::Error> for CommandError {
     fn from(error: lexopt::Error) -> Self {
-        Self::User(error.to_string())
+        Self::InvalidInput(error.to_string())
     }
 }
 
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failure) => {
-            eprintln!("swiftlbctl: {failure}");
-            ExitCode::from(match failure {
-                Failure::User(_) => 2,
-                Failure::System(_) => 1,
-                Failure::Interrupted => 130,
+        Err(error) => {
+            eprintln!("swiftlbctl: {error}");
+            ExitCode::from(match error {
+                CommandError::InvalidInput(_) => 2,
+                CommandError::Io(_) => 1,
+                CommandError::Interrupted => 130,
             })
         }
     }
 }
 
-fn run() -> Result<(), Failure> {
+fn run() -> Result<(), CommandError> {
     use lexopt::prelude::*;
     let mut parser = lexopt::Parser::from_env();
     match parser.next()? {
         Some(Long("help") | Short('h')) | None => println!("{USAGE}"),
         Some(Long("version") | Short('V')) => println!("swiftlbctl {}", env!("CARGO_PKG_VERSION")),
-        Some(Value(verb)) => match verb.to_str() {
+        Some(Value(command)) => match command.to_str() {
             Some("console") => console::run(parser)?,
             Some("demo") => demo::run(parser)?,
             Some("report") => report::run(parser)?,
-            _ => return Err(Failure::User(format!("no such verb: {}\n{USAGE}", verb.to_string_lossy()))),
+            _ => {
+                return Err(CommandError::InvalidInput(format!(
+                    "no such verb: {}\n{USAGE}",
+                    command.to_string_lossy()
+                )));
+            }
         },
-        Some(other) => return Err(Failure::User(format!("{}\n{USAGE}", other.unexpected()))),
+        Some(other) => return Err(CommandError::InvalidInput(format!("{}\n{USAGE}", other.unexpected()))),
     }
     Ok(())
 }
 
-/// Whether somebody watches standard error.
-fn is_watched() -> bool {
+/// Whether standard error is a terminal.
+fn stderr_is_terminal() -> bool {
     std::io::stderr().is_terminal()
 }
--- a/crates/ctl/src/progress.rs
+++ b/crates/ctl/src/progress.rs
@@ -1,30 +1,30 @@
-//! One line on standard error that says how far a long work is.
+//! Progress of a long task, shown on standard error.
 
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-/// Time between two words of progress where nobody sees a line change in place.
-const EVERY: Duration = Duration::from_secs(10);
+/// Interval between two progress lines if standard error is not a terminal.
+const LINE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Progress of one work. In a terminal its line changes in place, elsewhere there is a line now and then.
+/// Progress display of one task: in a terminal one line that is overwritten, otherwise at most one new line per
+/// [`LINE_INTERVAL`].
 pub struct Progress {
-    in_place: bool,
-    told: Option<Instant>,
+    overwrite: bool,
+    last_line: Option<Instant>,
 }
 
 impl Progress {
-    /// Begins.
     pub fn new() -> Self {
-        Self { in_place: crate::is_watched(), told: None }
+        Self { overwrite: crate::stderr_is_terminal(), last_line: None }
     }
 
-    /// Says this, if it is time.
-    pub fn say(&mut self, line: &str) {
-        if self.in_place {
+    /// Shows this line. If standard error is not a terminal, the line is dropped if the last one is too recent.
+    pub fn show(&mut self, line: &str) {
+        if self.overwrite {
             eprint!("\r\x1b[K{line}");
             let _ = std::io::stderr().flush();
-        } else if self.told.is_none_or(|told| told.elapsed() >= EVERY) {
-            self.told = Some(Instant::now());
+        } else if self.last_line.is_none_or(|last_line| last_line.elapsed() >= LINE_INTERVAL) {
+            self.last_line = Some(Instant::now());
             eprintln!("{line}");
         }
     }
@@ -32,7 +32,7 @@
 
 impl Drop for Progress {
     fn drop(&mut self) {
-        if self.in_place {
+        if self.overwrite {
             eprint!("\r\x1b[K");
         }
     }
--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/report.rs
@@ -1,4 +1,4 @@
-//! `swiftlbctl report`: an incident's course as a page, from records.
+//! `swiftlbctl report`: writes an HTML report of the incidents found in records.
 
 use std::path::{Path, PathBuf};
 
@@ -6,24 +6,24 @@
 use swiftlb_record::Archive;
 use swiftlb_report::{Report, page};
 
-use crate::Failure;
+use crate::CommandError;
 use crate::progress::Progress;
 
 const USAGE: &str = "\
 usage: swiftlbctl report FILE|DIR ... --out FILE.html [--events FILE.jsonl] [--from T] [--to T] [--json]
 
-Reads the records of one or several softswitches and tells the course of what happened: one page without anything from
-elsewhere, and the timeline as JSON lines if it is asked for. A file that cannot be read is named, the others are told.
+Reads the records of one or more softswitches and writes a self-contained HTML page about the incidents found in them,
+and on request the timeline as JSON lines. A file that cannot be read is named on standard error; the others are used.
 
-  --out FILE      the page
-  --events FILE   the timeline: at_us (corrected), softswitch, kind, exchange, detail
-  --from T        nothing before this time: seconds since 1970, or 2026-12-01T17:05:00 (UTC)
-  --to T          nothing after it
-  --json          the incidents as one JSON object on standard output
+  --out FILE      the HTML page
+  --events FILE   the timeline: at_us (corrected for clock offsets), softswitch, kind, exchange, detail
+  --from T        ignore records before this time: seconds since 1970, or 2026-12-01T17:05:00 (UTC)
+  --to T          ignore records after this time
+  --json          print the incidents as one JSON object on standard output
 
 example: swiftlbctl report /var/lib/swiftlb/records --from 2026-12-01T17:00:00 --out incident.html";
 
-pub fn run(mut parser: lexopt::Parser) -> Result<(), Failure> {
+pub fn run(mut parser: lexopt::Parser) -> Result<(), CommandError> {
     use lexopt::prelude::*;
     let (mut paths, mut out, mut events) = (Vec::new(), None, None);
     let (mut from, mut to, mut json) = (0, u64::MAX, false);
@@ -31,23 +31,24 @@
         match arg {
             Long("out") => out = Some(PathBuf::from(parser.value()?)),
             Long("events") => events = Some(PathBuf::from(parser.value()?)),
-            Long("from") => from = time("--from", &parser.value()?.string()?)?,
-            Long("to") => to = time("--to", &parser.value()?.string()?)?,
+            Long("from") => from = parse_time("--from", &parser.value()?.string()?)?,
+            Long("to") => to = parse_time("--to", &parser.value()?.string()?)?,
             Long("json") => json = true,
             Long("help") | Short('h') => {
                 println!("{USAGE}");
                 return Ok(());
             }
             Value(path) => paths.push(PathBuf::from(path)),
-            _ => return Err(Failure::User(format!("{}\n{USAGE}", arg.unexpected()))),
+            _ => return Err(CommandError::InvalidInput(format!("{}\n{USAGE}", arg.unexpected()))),
         }
     }
     if paths.is_empty() {
-        return Err(Failure::User(format!("no file or folder to read\n{USAGE}")));
+        return Err(CommandError::InvalidInput(format!("no file or folder to read\n{USAGE}")));
     }
-    let out = out.ok_or_else(|| Failure::User("--out: expected the file for the page".to_owned()))?;
+    let out =
+        out.ok_or_else(|| CommandError::InvalidInput("--out: expected the file for the page".to_owned()))?;
     if from > to {
-        return Err(Failure::User("--from: expected a time before that of --to".to_owned()));
+        return Err(CommandError::InvalidInput("--from: expected a time before that of --to".to_owned()));
     }
     let report = build(&paths, (from, to))?;
     write(&report, &out, events.as_deref())?;
@@ -56,80 +57,87 @@
     } else {
         print!("{}", summary(&report, &out));
     }
-    // The page is there all the same.
+    // Files that could not be read are reported last: the page has been written from the others.
     match &report.file_errors[..] {
         [] => Ok(()),
         [first, rest @ ..] => {
-            rest.iter().for_each(|trouble| eprintln!("swiftlbctl: {trouble}"));
-            Err(Failure::User(first.clone()))
+            rest.iter().for_each(|error| eprintln!("swiftlbctl: {error}"));
+            Err(CommandError::InvalidInput(first.clone()))
         }
     }
 }
 
-/// Reads the records.
-pub fn build(paths: &[PathBuf], window_us: (u64, u64)) -> Result<Report, Failure> {
+/// Builds a report from the records of these files and directories between two times in Unix microseconds.
+pub fn build(paths: &[PathBuf], time_range_us: (u64, u64)) -> Result<Report, CommandError> {
     let archive = Archive::open(paths);
     if archive.runs.is_empty() {
-        let why = archive.file_errors.first().map_or("no record files in it".to_owned(), ToString::to_string);
+        let reason =
+            archive.file_errors.first().map_or("no record files found".to_owned(), ToString::to_string);
         let names: Vec<String> = paths.iter().map(|path| path.display().to_string()).collect();
-        return Err(Failure::User(if archive.file_errors.is_empty() {
-            format!("{}: {why}", names.join(", "))
+        return Err(CommandError::InvalidInput(if archive.file_errors.is_empty() {
+            format!("{}: {reason}", names.join(", "))
         } else {
-            why
+            reason
         }));
     }
     let mut progress = Progress::new();
-    Ok(Report::build(&archive, window_us, |records| progress.say(&format!("{records} records told ..."))))
+    Ok(Report::build(&archive, time_range_us, |records| {
+        progress.show(&format!("{records} records analyzed ..."))
+    }))
 }
 
-/// Writes page and timeline, each whole or not at all.
-pub fn write(report: &Report, out: &Path, events: Option<&Path>) -> Result<(), Failure> {
-    whole(out, &page::html(report))?;
+/// Writes the page and, if a file is given for it, the timeline. Each file is written completely or not at all.
+pub fn write(report: &Report, out: &Path, events: Option<&Path>) -> Result<(), CommandError> {
+    write_atomically(out, &page::html(report))?;
     if let Some(events) = events {
-        whole(events, &report.events_jsonl())?;
+        write_atomically(events, &report.events_jsonl())?;
     }
     Ok(())
 }
 
-fn whole(path: &Path, text: &str) -> Result<(), Failure> {
-    let wrong = |error: std::io::Error| Failure::User(format!("{}: {error}", path.display()));
+/// Writes a file under a temporary name and renames it, so that no incomplete file is left under its own name.
+fn write_atomically(path: &Path, text: &str) -> Result<(), CommandError> {
+    let write_error =
+        |error: std::io::Error| CommandError::InvalidInput(format!("{}: {error}", path.display()));
     let mut name = path.file_name().unwrap_or_default().to_owned();
     name.push(".part");
-    let part = path.with_file_name(name);
-    std::fs::write(&part, text).map_err(wrong)?;
-    std::fs::rename(&part, path).map_err(wrong)
+    let temporary = path.with_file_name(name);
+    std::fs::write(&temporary, text).map_err(write_error)?;
+    std::fs::rename(&temporary, path).map_err(write_error)
 }
 
-/// A time in Unix microseconds.
-fn time(option: &str, text: &str) -> Result<u64, Failure> {
-    let wrong = || {
-        Failure::User(format!("{option}: '{text}': expected seconds since 1970 or 2026-12-01T17:05:00 (UTC)"))
+/// Parses a time given to an option; returns Unix microseconds.
+fn parse_time(option: &str, text: &str) -> Result<u64, CommandError> {
+    let invalid = || {
+        CommandError::InvalidInput(format!(
+            "{option}: '{text}': expected seconds since 1970 or 2026-12-01T17:05:00 (UTC)"
+        ))
     };
     if let Ok(seconds) = text.parse::<f64>() {
-        let good = seconds.is_finite() && (0.0..4e9).contains(&seconds);
-        return if good { Ok((seconds * 1e6) as u64) } else { Err(wrong()) };
+        let valid = seconds.is_finite() && (0.0..4e9).contains(&seconds);
+        return if valid { Ok((seconds * 1e6) as u64) } else { Err(invalid()) };
     }
-    let zoned = DateTime::parse_from_rfc3339(text).map(|time| time.timestamp_micros());
-    let plain = || {
+    let with_zone = DateTime::parse_from_rfc3339(text).map(|time| time.timestamp_micros());
+    let without_zone = || {
         NaiveDateTime::parse_from_str(text, "%Y-%m-%dT%H:%M:%S%.f")
             .map(|time| time.and_utc().timestamp_micros())
     };
-    let micros = zoned.or_else(|_| plain()).map_err(|_| wrong())?;
-    u64::try_from(micros).map_err(|_| wrong())
+    let micros = with_zone.or_else(|_| without_zone()).map_err(|_| invalid())?;
+    u64::try_from(micros).map_err(|_| invalid())
 }
 
-/// The incidents in a few lines.
+/// Summary for standard output: one line per incident and the file of the page.
 pub fn summary(report: &Report, out: &Path) -> String {
     let mut text = String::new();
     for incident in &report.analysis.incidents {
-        let lasted = incident.end_us.map(|end| end.saturating_sub(incident.begin_us) as f64 / 1e6);
+        let duration = incident.end_us.map(|end| end.saturating_sub(incident.begin_us) as f64 / 1e6);
         let at = (incident.begin_us.saturating_sub(report.time_range_us.0)) as f64 / 1e6;
         let node = incident.exchange.map_or(String::new(), |exchange| format!(" node {exchange}"));
-        let lasted = lasted.map_or("not over".to_owned(), |lasted| format!("{lasted:.1} s"));
-        let cost = &incident.affected_calls;
-        let lost = cost.cut + cost.lost + cost.abandoned;
+        let duration = duration.map_or("not over".to_owned(), |seconds| format!("{seconds:.1} s"));
+        let affected = &incident.affected_calls;
+        let lost = affected.cut + affected.lost + affected.abandoned;
         text +=
-            &format!("{at:8.1} s  {:<20}{node:<8} {lasted:>9}  {lost} calls lost\n", incident.kind.label());
+            &format!("{at:8.1} s  {:<20}{node:<8} {duration:>9}  {lost} calls lost\n", incident.kind.label());
     }
     if report.analysis.incidents.is_empty() {
         text += "no incidents\n";
@@ -137,6 +145,7 @@
     text + &format!("report: {}\n", out.display())
 }
 
+/// Summary as a JSON object, for `--json`.
 fn summary_json(report: &Report, out: &Path) -> String {
     let number = |n: Option<u64>| n.map_or("null".to_owned(), |n| n.to_string());
     let incidents: Vec<String> = report
@@ -144,7 +153,7 @@
         .incidents
         .iter()
         .map(|incident| {
-            let cost = &incident.affected_calls;
+            let affected = &incident.affected_calls;
             format!(
                 "{{\"kind\":\"{}\",\"exchange\":{},\"begin_us\":{},\"end_us\":{},\"flaps\":{},\"cut\":{},\"lost\":{},\
                  \"given_up\":{},\"delayed\":{}}}",
@@ -153,10 +162,10 @@
                 incident.begin_us,
                 number(incident.end_us),
                 incident.flaps,
-                cost.cut,
-                cost.lost,
-                cost.abandoned,
-                cost.delayed
+                affected.cut,
+                affected.lost,
+                affected.abandoned,
+                affected.delayed
             )
         })
         .collect();
