--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A whole mesh in one process and in virtual time: the emulator's world round real engines, with clocks that are off.
+//! A mesh in one process and in virtual time: real engines of softswitches connected to the emulator's model, with
+//! clocks that may be wrong.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -14,56 +15,66 @@
 };
 use swiftlb::interface::{Outcome, Readiness, Reason};
 use swiftlb_emulator::{
-    Input as WorldInput, ListedExchange, MeshModel, MessageFromCaller, MessageFromExchange, MessageToCaller,
+    Input as ModelInput, ListedExchange, MeshModel, MessageFromCaller, MessageFromExchange, MessageToCaller,
     MessageToExchange, Output, Scenario, SoftswitchConfig,
 };
 use swiftlb_record::{FileHeader, FileWriter, Record, file_name};
 
-/// The moment at which the world begins.
+/// Unix time at which the time of the model starts.
 pub const EPOCH: Duration = Duration::from_secs(1_800_000_000);
-/// Between two looks at the list, as the resolver's client takes them.
-const LIST: Duration = Duration::from_millis(100);
-const LINK: u64 = 1;
+/// Interval between two fetches of the list of exchanges, as in the client of the resolver.
+const LIST_FETCH_INTERVAL: Duration = Duration::from_millis(100);
+/// Caller connection of every softswitch.
+const CALLER_CONN: u64 = 1;
 
-/// A clock that is ahead of the time by so many microseconds and gains so many a second.
+/// Error of the clock of a softswitch: offset in microseconds, and drift in microseconds per second.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Clock(pub i64, pub i64);
+pub struct ClockSkew(pub i64, pub i64);
 
-enum Event {
-    World(WorldInput),
-    Switch(usize, u32, Input),
-    Dial(usize, u32, ExchangeConnId, usize),
-    List(usize, u32),
+/// An event that is scheduled for a time of the model.
+enum ScheduledEvent {
+    ModelInput(ModelInput),
+    /// Input of a softswitch's engine: softswitch, number of its process, input.
+    EngineInput(usize, u32, Input),
+    /// A connect arrives at an exchange: softswitch, number of its process, connection, exchange.
+    Connect(usize, u32, ExchangeConnId, usize),
+    /// A softswitch fetches the list of exchanges: softswitch, number of its process.
+    FetchList(usize, u32),
 }
 
-struct Switch {
+/// A softswitch of the mesh: the engine of its current process, and the resources around the engine.
+struct Softswitch {
+    /// `None` while no process runs.
     engine: Option<Engine>,
-    /// Counts processes: what was meant for an earlier one is lost.
-    start: u32,
-    conns: BTreeMap<ExchangeConnId, usize>,
-    serial: u32,
-    file: Option<(FileHeader, FileWriter<Vec<u8>>)>,
-    flushed: Duration,
+    /// Number of the current process; events that were scheduled for an earlier process are dropped.
+    process: u32,
+    /// Exchange at the other end of each open connection.
+    exchange_conns: BTreeMap<ExchangeConnId, usize>,
+    list_serial: u32,
+    record_file: Option<(FileHeader, FileWriter<Vec<u8>>)>,
+    last_flush: Duration,
 }
 
-/// The mesh.
-pub struct Mesh {
-    pub world: MeshModel,
-    switches: Vec<Switch>,
-    clocks: Vec<Clock>,
-    events: BinaryHeap<Reverse<(Duration, u64, usize)>>,
-    waiting: BTreeMap<usize, Event>,
-    count: u64,
+/// The mesh of engines and their environment, the model.
+pub struct VirtualMesh {
+    pub model: MeshModel,
+    softswitches: Vec<Softswitch>,
+    clock_skews: Vec<ClockSkew>,
+    /// Due time, order of scheduling and id of the events in [`Self::scheduled`].
+    queue: BinaryHeap<Reverse<(Duration, u64, usize)>>,
+    scheduled: BTreeMap<usize, ScheduledEvent>,
+    scheduled_count: u64,
     now: Duration,
-    folder: PathBuf,
+    directory: PathBuf,
     seed: u64,
 }
 
-fn at(now: Duration) -> SystemTime {
+/// Converts a time of the model to the correct time of day.
+fn system_time(now: Duration) -> SystemTime {
     UNIX_EPOCH + EPOCH + now
 }
 
-/// One way between two nodes.
+/// One-way latency between two nodes.
 fn latency(a: usize, b: usize) -> Duration {
     if a == b { Duration::from_micros(200) } else { Duration::from_millis(9 + 4 * ((a + b) % 3) as u64) }
 }
@@ -72,211 +83,234 @@
     SocketAddr::from(([10, 0, 0, exchange as u8 + 1], 5070))
 }
 
-fn entry(listed: &ListedExchange) -> ListEntry {
+fn list_entry(listed: &ListedExchange) -> ListEntry {
     ListEntry {
         name: listed.name.as_str().into(),
         address: address(listed.exchange),
         number: listed.exchange as u32,
         zone: (listed.exchange % 3) as u16,
-        // The platform tells it in whole milliseconds.
+        // The list has this time in whole milliseconds.
         started_at: listed
             .started_at
-            .map(|born| UNIX_EPOCH + EPOCH + Duration::from_millis(born.as_millis() as u64)),
+            .map(|started_at| UNIX_EPOCH + EPOCH + Duration::from_millis(started_at.as_millis() as u64)),
         readiness: if listed.draining { Readiness::Draining } else { Readiness::Ready },
     }
 }
 
-impl Mesh {
-    /// Plays a scenario to its end; the records are in this folder then.
-    pub fn play(scenario: Scenario, seed: u64, clocks: &[Clock], folder: &Path) -> MeshModel {
-        let _ = std::fs::remove_dir_all(folder);
-        std::fs::create_dir_all(folder).expect("a folder");
+impl VirtualMesh {
+    /// Runs a scenario to its end, writes the records to this directory and returns the model.
+    pub fn run(scenario: Scenario, seed: u64, clock_skews: &[ClockSkew], directory: &Path) -> MeshModel {
+        let _ = std::fs::remove_dir_all(directory);
+        std::fs::create_dir_all(directory).expect("the directory is created");
         let nodes = scenario.nodes;
-        let softswitch = |_| Switch {
+        let softswitch = |_| Softswitch {
             engine: None,
-            start: 0,
-            conns: BTreeMap::new(),
-            serial: 0,
-            file: None,
-            flushed: Duration::ZERO,
+            process: 0,
+            exchange_conns: BTreeMap::new(),
+            list_serial: 0,
+            record_file: None,
+            last_flush: Duration::ZERO,
         };
         let mut mesh = Self {
-            world: MeshModel::new(scenario, seed),
-            switches: (0..nodes).map(softswitch).collect(),
-            clocks: clocks.iter().copied().chain(std::iter::repeat(Clock::default())).take(nodes).collect(),
-            events: BinaryHeap::new(),
-            waiting: BTreeMap::new(),
-            count: 0,
+            model: MeshModel::new(scenario, seed),
+            softswitches: (0..nodes).map(softswitch).collect(),
+            clock_skews: clock_skews
+                .iter()
+                .copied()
+                .chain(std::iter::repeat(ClockSkew::default()))
+                .take(nodes)
+                .collect(),
+            queue: BinaryHeap::new(),
+            scheduled: BTreeMap::new(),
+            scheduled_count: 0,
             now: Duration::ZERO,
-            folder: folder.to_owned(),
+            directory: directory.to_owned(),
             seed,
         };
         for softswitch in 0..nodes {
-            mesh.start(softswitch);
+            mesh.start_softswitch(softswitch);
         }
-        while !mesh.world.is_finished() {
+        while !mesh.model.is_finished() {
             mesh.step();
         }
         for softswitch in 0..nodes {
-            mesh.put(softswitch, Input::Drain);
+            mesh.handle_engine_input(softswitch, Input::Drain);
             mesh.now += Duration::from_secs(11);
-            mesh.put(softswitch, Input::Wake);
+            mesh.handle_engine_input(softswitch, Input::Wake);
             mesh.now -= Duration::from_secs(11);
-            mesh.save(softswitch, false);
+            mesh.write_records(softswitch, false);
         }
-        mesh.world
+        mesh.model
     }
 
-    fn later(&mut self, after: Duration, event: Event) {
-        self.count += 1;
-        let id = self.count as usize;
-        self.waiting.insert(id, event);
-        self.events.push(Reverse((self.now + after, self.count, id)));
+    /// Schedules an event this long after now.
+    fn schedule(&mut self, after: Duration, event: ScheduledEvent) {
+        self.scheduled_count += 1;
+        let id = self.scheduled_count as usize;
+        self.scheduled.insert(id, event);
+        self.queue.push(Reverse((self.now + after, self.scheduled_count, id)));
     }
 
+    /// Advances to the next event or timeout and handles it.
     fn step(&mut self) {
-        let event = self.events.peek().map(|Reverse((at, ..))| *at);
-        let wakes = self.switches.iter().filter_map(|s| s.engine.as_ref()?.next_wake());
-        let wake = wakes.min().map(|wake| wake.duration_since(at(Duration::ZERO)).unwrap_or_default());
-        let next = [event, wake, self.world.next_wake()].into_iter().flatten().min();
-        self.now = self.now.max(next.unwrap_or(self.now + LIST));
+        let event = self.queue.peek().map(|Reverse((at, ..))| *at);
+        let wake_times = self.softswitches.iter().filter_map(|s| s.engine.as_ref()?.next_wake());
+        let wake =
+            wake_times.min().map(|wake| wake.duration_since(system_time(Duration::ZERO)).unwrap_or_default());
+        let next = [event, wake, self.model.next_wake()].into_iter().flatten().min();
+        self.now = self.now.max(next.unwrap_or(self.now + LIST_FETCH_INTERVAL));
         if event.is_some_and(|at| at <= self.now) {
-            let Some(Reverse((_, _, id))) = self.events.pop() else { return };
-            match self.waiting.remove(&id) {
-                Some(Event::World(input)) => self.tell_world(input),
-                Some(Event::Switch(softswitch, start, input)) if self.switches[softswitch].start == start => {
-                    self.put(softswitch, input);
+            let Some(Reverse((_, _, id))) = self.queue.pop() else { return };
+            match self.scheduled.remove(&id) {
+                Some(ScheduledEvent::ModelInput(input)) => self.handle_model_input(input),
+                Some(ScheduledEvent::EngineInput(softswitch, process, input))
+                    if self.softswitches[softswitch].process == process =>
+                {
+                    self.handle_engine_input(softswitch, input);
                 }
-                Some(Event::Dial(softswitch, start, exchange_conn, to))
-                    if self.switches[softswitch].start == start =>
+                Some(ScheduledEvent::Connect(softswitch, process, exchange_conn, to))
+                    if self.softswitches[softswitch].process == process =>
                 {
-                    self.dialled(softswitch, exchange_conn, to);
+                    self.connect_exchange(softswitch, exchange_conn, to);
                 }
-                Some(Event::List(softswitch, start)) if self.switches[softswitch].start == start => {
-                    self.list(softswitch)
+                Some(ScheduledEvent::FetchList(softswitch, process))
+                    if self.softswitches[softswitch].process == process =>
+                {
+                    self.fetch_list(softswitch)
                 }
                 _ => {}
             }
             return;
         }
-        for softswitch in 0..self.switches.len() {
-            let due = |engine: &Engine| engine.next_wake().is_some_and(|wake| wake <= at(self.now));
-            if self.switches[softswitch].engine.as_ref().is_some_and(due) {
-                self.put(softswitch, Input::Wake);
+        for softswitch in 0..self.softswitches.len() {
+            let due = |engine: &Engine| engine.next_wake().is_some_and(|wake| wake <= system_time(self.now));
+            if self.softswitches[softswitch].engine.as_ref().is_some_and(due) {
+                self.handle_engine_input(softswitch, Input::Wake);
             }
         }
-        self.tell_world(WorldInput::Wake);
+        self.handle_model_input(ModelInput::Wake);
     }
 
-    fn start(&mut self, softswitch: usize) {
-        let nodes = self.switches.len();
-        let any = address(softswitch);
-        let (serial, list) = self.world.list(self.now);
+    /// Starts a process of a softswitch with an empty engine and a new record file.
+    fn start_softswitch(&mut self, softswitch: usize) {
+        let nodes = self.softswitches.len();
+        let unused_address = address(softswitch);
+        let (serial, list) = self.model.list(self.now);
         let list: Vec<(ListedExchange, SocketAddr)> =
             list.iter().map(|l| (l.clone(), address(l.exchange))).collect();
         let epoch = UNIX_EPOCH + EPOCH;
-        let node = SoftswitchConfig {
+        let softswitch_config = SoftswitchConfig {
             number: softswitch,
             node_count: nodes,
-            listen: any,
-            operator: any,
-            resolver: any,
+            listen: unused_address,
+            operator: unused_address,
+            resolver: unused_address,
             seed: self.seed,
             epoch,
         };
-        let config = Config::parse(&node.to_json(serial, &list)).expect("a configuration");
+        let config = Config::parse(&softswitch_config.to_json(serial, &list)).expect("a valid configuration");
         let mut effects = Vec::new();
-        let mut engine = Engine::new(&config, at(self.now), &mut effects).expect("settings that make sense");
+        let mut engine = Engine::new(&config, system_time(self.now), &mut effects).expect("valid settings");
         engine.start_recording(false, &mut effects);
-        let run_us = self.shows(softswitch, (EPOCH + self.now).as_micros() as u64);
-        let head = FileHeader::first_of_run(&format!("n{softswitch}"), softswitch as u32, run_us);
-        let writer = FileWriter::create(Vec::new(), &head).expect("memory");
-        let held = &mut self.switches[softswitch];
-        (held.engine, held.start, held.serial) = (Some(engine), held.start + 1, serial);
-        (held.file, held.flushed) = (Some((head, writer)), self.now);
-        let start = held.start;
-        self.perform(softswitch, effects);
-        self.put(softswitch, Input::CallerConnected { caller_conn: LINK, front: Front::JsonLines });
-        self.later(LIST, Event::List(softswitch, start));
-        self.tell_world(WorldInput::SoftswitchUp(softswitch));
+        let started_us = self.skewed_us(softswitch, (EPOCH + self.now).as_micros() as u64);
+        let header = FileHeader::first_of_run(&format!("n{softswitch}"), softswitch as u32, started_us);
+        let writer = FileWriter::create(Vec::new(), &header).expect("a write to memory");
+        let state = &mut self.softswitches[softswitch];
+        (state.engine, state.process, state.list_serial) = (Some(engine), state.process + 1, serial);
+        (state.record_file, state.last_flush) = (Some((header, writer)), self.now);
+        let process = state.process;
+        self.apply_effects(softswitch, effects);
+        self.handle_engine_input(
+            softswitch,
+            Input::CallerConnected { caller_conn: CALLER_CONN, front: Front::JsonLines },
+        );
+        self.schedule(LIST_FETCH_INTERVAL, ScheduledEvent::FetchList(softswitch, process));
+        self.handle_model_input(ModelInput::SoftswitchUp(softswitch));
     }
 
-    fn shows(&self, softswitch: usize, at_us: u64) -> u64 {
-        let Clock(ahead, ppm) = self.clocks[softswitch];
-        let gone = at_us as i64 - EPOCH.as_micros() as i64;
-        at_us.saturating_add_signed(ahead + gone / 1_000 * ppm / 1_000)
+    /// Time that the clock of a softswitch shows.
+    fn skewed_us(&self, softswitch: usize, at_us: u64) -> u64 {
+        let ClockSkew(ahead_us, drift_ppm) = self.clock_skews[softswitch];
+        let elapsed_us = at_us as i64 - EPOCH.as_micros() as i64;
+        at_us.saturating_add_signed(ahead_us + elapsed_us / 1_000 * drift_ppm / 1_000)
     }
 
-    /// Ends a file: in good order, or cut in the middle of its last block.
-    fn save(&mut self, softswitch: usize, killed: bool) {
-        let Some((head, mut writer)) = self.switches[softswitch].file.take() else { return };
-        let path = self.folder.join(file_name(&head));
-        let before = writer.written_bytes() as usize;
-        writer.flush().expect("memory");
-        let whole = writer.written_bytes() as usize;
-        let bytes = writer.finish().expect("memory");
-        let keep = if killed { before + (whole - before) / 2 } else { bytes.len() };
-        std::fs::write(path, &bytes[..keep]).expect("a file");
+    /// Writes the record file of a process that ended: complete, or cut in the middle of its last block if it was killed.
+    fn write_records(&mut self, softswitch: usize, killed: bool) {
+        let Some((header, mut writer)) = self.softswitches[softswitch].record_file.take() else { return };
+        let path = self.directory.join(file_name(&header));
+        let flushed_bytes = writer.written_bytes() as usize;
+        writer.flush().expect("a write to memory");
+        let all_bytes = writer.written_bytes() as usize;
+        let bytes = writer.finish().expect("a write to memory");
+        let keep = if killed { flushed_bytes + (all_bytes - flushed_bytes) / 2 } else { bytes.len() };
+        std::fs::write(path, &bytes[..keep]).expect("the file is written");
     }
 
-    fn list(&mut self, softswitch: usize) {
-        let (serial, list) = self.world.list(self.now);
-        let entries: Vec<ListEntry> = list.iter().map(entry).collect();
-        if serial > self.switches[softswitch].serial {
-            self.switches[softswitch].serial = serial;
-            self.put(softswitch, Input::List(entries));
+    fn fetch_list(&mut self, softswitch: usize) {
+        let (serial, list) = self.model.list(self.now);
+        let entries: Vec<ListEntry> = list.iter().map(list_entry).collect();
+        if serial > self.softswitches[softswitch].list_serial {
+            self.softswitches[softswitch].list_serial = serial;
+            self.handle_engine_input(softswitch, Input::List(entries));
         }
-        self.put(softswitch, Input::ListConfirmed { serial });
-        let start = self.switches[softswitch].start;
-        self.later(LIST, Event::List(softswitch, start));
+        self.handle_engine_input(softswitch, Input::ListConfirmed { serial });
+        let process = self.softswitches[softswitch].process;
+        self.schedule(LIST_FETCH_INTERVAL, ScheduledEvent::FetchList(softswitch, process));
     }
 
-    fn dialled(&mut self, softswitch: usize, exchange_conn: ExchangeConnId, to: usize) {
-        let back = latency(softswitch, to);
-        let start = self.switches[softswitch].start;
-        if !self.world.is_exchange_running(to) {
-            return self.later(
-                back,
-                Event::Switch(
+    /// Handles a connect at the exchange: accepts it, or refuses it if the exchange is not running.
+    fn connect_exchange(&mut self, softswitch: usize, exchange_conn: ExchangeConnId, to: usize) {
+        let delay = latency(softswitch, to);
+        let process = self.softswitches[softswitch].process;
+        if !self.model.is_exchange_running(to) {
+            return self.schedule(
+                delay,
+                ScheduledEvent::EngineInput(
                     softswitch,
-                    start,
+                    process,
                     Input::ExchangeConnectFailed { exchange_conn, refused: true },
                 ),
             );
         }
-        self.switches[softswitch].conns.insert(exchange_conn, to);
-        self.later(
-            back,
-            Event::Switch(
+        self.softswitches[softswitch].exchange_conns.insert(exchange_conn, to);
+        self.schedule(
+            delay,
+            ScheduledEvent::EngineInput(
                 softswitch,
-                start,
+                process,
                 Input::ExchangeConnected { exchange_conn, carries_calls: false },
             ),
         );
-        self.tell_world(WorldInput::ExchangeConnected { softswitch, exchange: to });
+        self.handle_model_input(ModelInput::ExchangeConnected { softswitch, exchange: to });
     }
 
-    fn put(&mut self, softswitch: usize, input: Input) {
+    fn handle_engine_input(&mut self, softswitch: usize, input: Input) {
         let mut effects = Vec::new();
-        let now = at(self.now);
-        let Some(engine) = &mut self.switches[softswitch].engine else { return };
+        let now = system_time(self.now);
+        let Some(engine) = &mut self.softswitches[softswitch].engine else { return };
         engine.handle(now, input, &mut effects);
-        self.perform(softswitch, effects);
+        self.apply_effects(softswitch, effects);
     }
 
-    fn perform(&mut self, softswitch: usize, effects: Vec<Effect>) {
-        let start = self.switches[softswitch].start;
+    fn apply_effects(&mut self, softswitch: usize, effects: Vec<Effect>) {
+        let process = self.softswitches[softswitch].process;
         for effect in effects {
             match effect {
                 Effect::ConnectExchange { exchange_conn, number, .. } => {
                     let to = number as usize;
-                    self.later(latency(softswitch, to), Event::Dial(softswitch, start, exchange_conn, to));
+                    self.schedule(
+                        latency(softswitch, to),
+                        ScheduledEvent::Connect(softswitch, process, exchange_conn, to),
+                    );
                 }
                 Effect::CloseExchangeConn { exchange_conn } => {
-                    self.switches[softswitch].conns.remove(&exchange_conn);
+                    self.softswitches[softswitch].exchange_conns.remove(&exchange_conn);
                 }
                 Effect::ToExchange { exchange_conn, call, message } => {
-                    let Some(exchange) = self.switches[softswitch].conns.get(&exchange_conn).copied() else {
+                    let Some(exchange) =
+                        self.softswitches[softswitch].exchange_conns.get(&exchange_conn).copied()
+                    else {
                         continue;
                     };
                     let message = match message {
@@ -286,9 +320,9 @@
                         }
                         ExchangeMessage::Probe => MessageToExchange::Probe,
                     };
-                    let call = u64::from_str_radix(call.as_str(), 16).expect("an id");
-                    let input = WorldInput::ToExchange { softswitch, exchange, call, message };
-                    self.later(latency(softswitch, exchange), Event::World(input));
+                    let call = u64::from_str_radix(call.as_str(), 16).expect("a call id");
+                    let input = ModelInput::ToExchange { softswitch, exchange, call, message };
+                    self.schedule(latency(softswitch, exchange), ScheduledEvent::ModelInput(input));
                 }
                 Effect::ToCaller { call, message, .. } => {
                     let message = match message {
@@ -300,20 +334,20 @@
                         }
                         CallerMessage::HealthCheckResult { .. } => continue,
                     };
-                    let call = u64::from_str_radix(call.as_str(), 16).expect("an id");
-                    let input = WorldInput::ToCaller { softswitch, call, message };
-                    self.later(latency(softswitch, softswitch), Event::World(input));
+                    let call = u64::from_str_radix(call.as_str(), 16).expect("a call id");
+                    let input = ModelInput::ToCaller { softswitch, call, message };
+                    self.schedule(latency(softswitch, softswitch), ScheduledEvent::ModelInput(input));
                 }
                 Effect::Record(Record { at_us, event }) => {
-                    let at_us = self.shows(softswitch, at_us);
+                    let at_us = self.skewed_us(softswitch, at_us);
                     let now = self.now;
-                    let held = &mut self.switches[softswitch];
-                    if let Some((_, writer)) = &mut held.file {
-                        if now >= held.flushed + Duration::from_millis(500) {
-                            held.flushed = now;
-                            writer.flush().expect("memory");
+                    let state = &mut self.softswitches[softswitch];
+                    if let Some((_, writer)) = &mut state.record_file {
+                        if now >= state.last_flush + Duration::from_millis(500) {
+                            state.last_flush = now;
+                            writer.flush().expect("a write to memory");
                         }
-                        writer.push(&Record { at_us, event }).expect("memory");
+                        writer.push(&Record { at_us, event }).expect("a write to memory");
                     }
                 }
                 _ => {}
@@ -321,9 +355,9 @@
         }
     }
 
-    fn tell_world(&mut self, input: WorldInput) {
+    fn handle_model_input(&mut self, input: ModelInput) {
         let mut out = Vec::new();
-        self.world.handle(self.now, input, &mut out);
+        self.model.handle(self.now, input, &mut out);
         for output in out {
             match output {
                 Output::FromCaller { softswitch, call, message } => {
@@ -332,7 +366,7 @@
                         MessageFromCaller::SetUp { class, remaining, dest, transit_from } => {
                             let setup = SetUp {
                                 class: class.to_owned(),
-                                received: at(self.now) + latency(softswitch, softswitch),
+                                received: system_time(self.now) + latency(softswitch, softswitch),
                                 remaining: Some(remaining),
                                 called_number: Some(call.as_str().to_owned()),
                                 dest: dest as u32,
@@ -342,54 +376,68 @@
                                 was_cut: false,
                                 description: Some(Arc::from("v=0\r\n")),
                             };
-                            Input::SetUp { caller_conn: LINK, call, setup }
+                            Input::SetUp { caller_conn: CALLER_CONN, call, setup }
+                        }
+                        MessageFromCaller::HangUp => {
+                            Input::HangUp { caller_conn: CALLER_CONN, call, cause: 16 }
                         }
-                        MessageFromCaller::HangUp => Input::HangUp { caller_conn: LINK, call, cause: 16 },
                     };
-                    let start = self.switches[softswitch].start;
-                    self.later(latency(softswitch, softswitch), Event::Switch(softswitch, start, input));
+                    let process = self.softswitches[softswitch].process;
+                    self.schedule(
+                        latency(softswitch, softswitch),
+                        ScheduledEvent::EngineInput(softswitch, process, input),
+                    );
                 }
                 Output::FromExchange { softswitch, exchange, call, message } => {
-                    self.say(softswitch, exchange, call, message)
+                    self.deliver_from_exchange(softswitch, exchange, call, message)
                 }
                 Output::ExchangeDown(exchange) => {
-                    for softswitch in 0..self.switches.len() {
-                        let held = &mut self.switches[softswitch];
-                        let gone: Vec<ExchangeConnId> = held
-                            .conns
+                    for softswitch in 0..self.softswitches.len() {
+                        let state = &mut self.softswitches[softswitch];
+                        let lost_conns: Vec<ExchangeConnId> = state
+                            .exchange_conns
                             .iter()
                             .filter(|(_, to)| **to == exchange)
                             .map(|(exchange_conn, _)| *exchange_conn)
                             .collect();
-                        let start = held.start;
-                        for exchange_conn in gone {
-                            self.switches[softswitch].conns.remove(&exchange_conn);
-                            let lost = Event::Switch(
+                        let process = state.process;
+                        for exchange_conn in lost_conns {
+                            self.softswitches[softswitch].exchange_conns.remove(&exchange_conn);
+                            let lost = ScheduledEvent::EngineInput(
                                 softswitch,
-                                start,
+                                process,
                                 Input::ExchangeDisconnected { exchange_conn },
                             );
-                            self.later(latency(softswitch, exchange), lost);
+                            self.schedule(latency(softswitch, exchange), lost);
                         }
                     }
                 }
                 Output::ExchangeUp(_) => {}
                 Output::KillSoftswitch(softswitch) => {
-                    self.save(softswitch, true);
-                    let held = &mut self.switches[softswitch];
-                    (held.engine, held.start) = (None, held.start + 1);
-                    held.conns.clear();
-                    self.later(Duration::ZERO, Event::World(WorldInput::SoftswitchDown(softswitch)));
+                    self.write_records(softswitch, true);
+                    let state = &mut self.softswitches[softswitch];
+                    (state.engine, state.process) = (None, state.process + 1);
+                    state.exchange_conns.clear();
+                    self.schedule(
+                        Duration::ZERO,
+                        ScheduledEvent::ModelInput(ModelInput::SoftswitchDown(softswitch)),
+                    );
                 }
-                Output::StartSoftswitch(softswitch) => self.start(softswitch),
+                Output::StartSoftswitch(softswitch) => self.start_softswitch(softswitch),
             }
         }
     }
 
-    fn say(&mut self, softswitch: usize, exchange: usize, call: u64, message: MessageFromExchange) {
-        let held = &self.switches[softswitch];
-        let Some(exchange_conn) = held
-            .conns
+    fn deliver_from_exchange(
+        &mut self,
+        softswitch: usize,
+        exchange: usize,
+        call: u64,
+        message: MessageFromExchange,
+    ) {
+        let state = &self.softswitches[softswitch];
+        let Some(exchange_conn) = state
+            .exchange_conns
             .iter()
             .filter(|(_, to)| **to == exchange)
             .map(|(exchange_conn, _)| *exchange_conn)
@@ -425,6 +473,9 @@
                 Input::ProbeResult { exchange_conn, passed: true, report: None }
             }
         };
-        self.later(latency(softswitch, exchange), Event::Switch(softswitch, held.start, input));
+        self.schedule(
+            latency(softswitch, exchange),
+            ScheduledEvent::EngineInput(softswitch, state.process, input),
+        );
     }
 }
--- a/crates/ctl/tests/terminal.rs
+++ b/crates/ctl/tests/terminal.rs
@@ -1,4 +1,5 @@
-//! The console in a real terminal: a pseudo-terminal of 80x24, what is on its screen, keys, a resize, and the end.
+//! Tests of the console in a pseudo-terminal: contents of the screen at 80x24, keys, a resize, and the state of the
+//! terminal after the console ends.
 
 use std::fs::File;
 use std::io::{Read, Write};
@@ -12,63 +13,65 @@
 use rustix::pty::{OpenptFlags, grantpt, openpt, ptsname, unlockpt};
 use rustix::termios::{Winsize, tcsetwinsize};
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A program in a terminal.
+/// `swiftlbctl` running in a pseudo-terminal, and an emulation of the screen.
 struct Terminal {
     child: Child,
-    keyboard: File,
+    master: File,
     output: Receiver<Vec<u8>>,
     screen: vt100::Parser,
 }
 
-fn size(columns: u16, rows: u16) -> Winsize {
+fn window_size(columns: u16, rows: u16) -> Winsize {
     Winsize { ws_row: rows, ws_col: columns, ws_xpixel: 0, ws_ypixel: 0 }
 }
 
 impl Terminal {
-    fn start(words: &[&str]) -> Self {
-        let master = openpt(OpenptFlags::RDWR | OpenptFlags::NOCTTY).expect("a terminal");
-        grantpt(&master).expect("granted");
-        unlockpt(&master).expect("unlocked");
-        let name = ptsname(&master, Vec::new()).expect("a name");
-        tcsetwinsize(&master, size(80, 24)).expect("sized");
-        let open =
-            || rustix::fs::open(&name, OFlags::RDWR | OFlags::NOCTTY, Mode::empty()).expect("its other end");
-        let end = |end: OwnedFd| Stdio::from(end);
+    fn start(args: &[&str]) -> Self {
+        let pty = openpt(OpenptFlags::RDWR | OpenptFlags::NOCTTY).expect("a pseudo-terminal");
+        grantpt(&pty).expect("access granted");
+        unlockpt(&pty).expect("unlocked");
+        let name = ptsname(&pty, Vec::new()).expect("a name of the slave side");
+        tcsetwinsize(&pty, window_size(80, 24)).expect("size set");
+        let open_slave = || {
+            rustix::fs::open(&name, OFlags::RDWR | OFlags::NOCTTY, Mode::empty())
+                .expect("the slave side opens")
+        };
+        let stdio = |slave: OwnedFd| Stdio::from(slave);
         let mut command = Command::new(env!("CARGO_BIN_EXE_swiftlbctl"));
         command
-            .args(words)
+            .args(args)
             .env("TERM", "xterm-256color")
-            .stdin(end(open()))
-            .stdout(end(open()))
-            .stderr(end(open()));
-        let child = command.spawn().expect("it starts");
-        let keyboard = File::from(master);
-        let mut from = keyboard.try_clone().expect("a descriptor");
-        let (tell, output) = channel();
+            .stdin(stdio(open_slave()))
+            .stdout(stdio(open_slave()))
+            .stderr(stdio(open_slave()));
+        let child = command.spawn().expect("swiftlbctl starts");
+        let master = File::from(pty);
+        let mut reader = master.try_clone().expect("a descriptor");
+        let (sender, output) = channel();
         std::thread::spawn(move || {
             let mut buffer = [0; 4_096];
-            // The system says EIO once nobody holds the other end any more.
-            while let Ok(length @ 1..) = from.read(&mut buffer) {
-                if tell.send(buffer[..length].to_vec()).is_err() {
+            // The read fails with EIO once the slave side is closed everywhere.
+            while let Ok(length @ 1..) = reader.read(&mut buffer) {
+                if sender.send(buffer[..length].to_vec()).is_err() {
                     return;
                 }
             }
         });
-        Self { child, keyboard, output, screen: vt100::Parser::new(24, 80, 0) }
+        Self { child, master, output, screen: vt100::Parser::new(24, 80, 0) }
     }
 
-    /// Waits until the screen shows this; returns all of it.
-    fn shows(&mut self, text: &str) -> String {
-        let until = Instant::now() + PATIENCE;
+    /// Waits until this text is on the screen; returns the whole screen.
+    fn wait_for(&mut self, text: &str) -> String {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             let contents = self.screen.screen().contents();
             if contents.contains(text) {
                 return contents;
             }
-            let left = until.saturating_duration_since(Instant::now());
-            let Ok(bytes) = self.output.recv_timeout(left) else {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let Ok(bytes) = self.output.recv_timeout(remaining) else {
                 panic!("'{text}' is not on the screen:\n{contents}")
             };
             self.screen.process(&bytes);
@@ -76,15 +79,15 @@
     }
 
     fn press(&mut self, keys: &str) {
-        self.keyboard.write_all(keys.as_bytes()).expect("it reads");
+        self.master.write_all(keys.as_bytes()).expect("the terminal accepts keys");
     }
 
     fn resize(&mut self, columns: u16, rows: u16) {
-        tcsetwinsize(&self.keyboard, size(columns, rows)).expect("sized");
+        tcsetwinsize(&self.master, window_size(columns, rows)).expect("size set");
         self.screen.screen_mut().set_size(rows, columns);
-        // It is no controlling terminal here, so the system does not say so by itself.
-        let id = self.child.id().to_string();
-        assert!(Command::new("kill").args(["-WINCH", &id]).status().expect("it runs").success());
+        // The pseudo-terminal is not the controlling terminal of the process, so the kernel sends no SIGWINCH by itself.
+        let process_id = self.child.id().to_string();
+        assert!(Command::new("kill").args(["-WINCH", &process_id]).status().expect("kill runs").success());
     }
 }
 
@@ -95,15 +98,16 @@
     }
 }
 
-/// An operators' door that always says the same of itself and of so many nodes.
-fn door(nodes: u32) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+/// Starts an HTTP server that answers every request with the same state of one softswitch and this many exchanges;
+/// returns its address.
+fn start_operator_server(nodes: u32) -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address").to_string();
     let exchanges: Vec<String> = (0..nodes)
         .map(|n| {
-            let way = ["up", "down"][usize::from(n == 2)];
+            let connection = ["up", "down"][usize::from(n == 2)];
             format!(
-                r#"{{"exchange":{n},"name":"s-{n}","listing":"ready","way":"{way}","free":{n},"total":9,"heard_ms":5,
+                r#"{{"exchange":{n},"name":"s-{n}","listing":"ready","way":"{connection}","free":{n},"total":9,"heard_ms":5,
                 "expected_ms":{},"out":0,"standing":0,"avoided":false}}"#,
                 40 + n
             )
@@ -118,67 +122,69 @@
         for stream in listener.incoming() {
             let Ok(mut stream) = stream else { return };
             let _ = stream.read(&mut [0; 512]);
-            let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-            let _ = stream.write_all(answer.as_bytes());
+            let reply = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+            let _ = stream.write_all(reply.as_bytes());
         }
     });
     address
 }
 
 #[test]
-fn the_console_lives_in_a_terminal_of_80_by_24_follows_resizes_and_gives_it_back() {
-    let (address, silent) =
-        (door(5), TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port"));
-    let mut terminal = Terminal::start(&["console", &address, &silent.to_string()]);
-    let screen = terminal.shows("shed 100%");
+fn the_console_handles_keys_and_resizes_and_restores_the_terminal() {
+    let (address, silent_address) = (
+        start_operator_server(5),
+        TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port"),
+    );
+    let mut terminal = Terminal::start(&["console", &address, &silent_address.to_string()]);
+    let screen = terminal.wait_for("shed 100%");
     assert!(screen.starts_with("swiftlb  1 softswitches live, 1 silent"), "{screen}");
-    let screen = terminal.shows("DOWN");
+    let screen = terminal.wait_for("DOWN");
     assert!(screen.contains("no word") && screen.lines().all(|line| line.chars().count() <= 80), "{screen}");
     terminal.press("s");
-    terminal.shows("s: sort (trouble)");
+    terminal.wait_for("s: sort (trouble)");
     terminal.press("/down\r");
-    terminal.shows("/: filter 'down'");
-    let until = Instant::now() + PATIENCE;
+    terminal.wait_for("/: filter 'down'");
+    let deadline = Instant::now() + TIMEOUT;
     while terminal.screen.screen().contents().contains("s-4") {
-        assert!(Instant::now() < until, "the filter has no effect");
-        terminal.shows("s-2");
+        assert!(Instant::now() < deadline, "the filter has no effect");
+        terminal.wait_for("s-2");
         if let Ok(bytes) = terminal.output.recv_timeout(Duration::from_millis(100)) {
             terminal.screen.process(&bytes);
         }
     }
     terminal.press("\x1b");
     terminal.resize(120, 40);
-    terminal.shows("s-4");
-    let last = |terminal: &Terminal| terminal.screen.screen().contents_between(39, 0, 39, 119);
-    let until = Instant::now() + PATIENCE;
-    while !last(&terminal).starts_with("q: end") {
-        let left = until.saturating_duration_since(Instant::now());
-        let Ok(bytes) = terminal.output.recv_timeout(left) else {
-            panic!("the last line is '{}'", last(&terminal))
+    terminal.wait_for("s-4");
+    let last_line = |terminal: &Terminal| terminal.screen.screen().contents_between(39, 0, 39, 119);
+    let deadline = Instant::now() + TIMEOUT;
+    while !last_line(&terminal).starts_with("q: end") {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let Ok(bytes) = terminal.output.recv_timeout(remaining) else {
+            panic!("the last line is '{}'", last_line(&terminal))
         };
         terminal.screen.process(&bytes);
     }
     terminal.press("q");
-    assert_eq!(terminal.child.wait().expect("it ends").code(), Some(0));
+    assert_eq!(terminal.child.wait().expect("swiftlbctl ends").code(), Some(0));
     while let Ok(bytes) = terminal.output.recv_timeout(Duration::from_millis(300)) {
         terminal.screen.process(&bytes);
     }
     assert!(
         !terminal.screen.screen().alternate_screen() && !terminal.screen.screen().hide_cursor(),
-        "it is given back"
+        "the screen and the cursor are not restored"
     );
 }
 
 #[test]
-fn one_screen_is_printed_as_text_without_a_terminal() {
-    let address = door(3);
+fn once_prints_one_screen_as_plain_text_without_a_terminal() {
+    let address = start_operator_server(3);
     let output =
         Command::new(env!("CARGO_BIN_EXE_swiftlbctl")).args(["console", &address, "--once"]).output();
-    let output = output.expect("it starts");
+    let output = output.expect("swiftlbctl starts");
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(
         output.status.success() && text.contains("1 softswitches live, 0 silent") && text.contains("DOWN"),
         "{text}"
     );
-    assert!(!text.contains('\x1b'), "plain text: {text}");
+    assert!(!text.contains('\x1b'), "escape sequences in: {text}");
 }
