--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -1,5 +1,5 @@
-//! Terminal console that shows every softswitch and node, live over the HTTP interface for operators or played back from
-//! record files.
+//! Terminal console that shows every softswitch and every node (an exchange with its host), live over the HTTP interface
+//! for operators or played back from record files.
 //!
 //! [`Model`] is a pure function of the snapshots received and of the time; [`view`] draws it on any backend;
 //! [`run_live`] and [`run_replay`] control the terminal, handle keys and start the threads that poll.
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -13,7 +13,7 @@
 const USAGE: &str = "\
 usage: swiftlbctl COMMAND [OPTION ...]
 
-  console   show all softswitches and exchanges in a terminal, live or from records
+  console   show all softswitches and nodes in a terminal, live or from records
   demo      run a mesh with an incident on loopback, record it and write a report of it
   report    write a report of the incidents found in records, as an HTML page
 
--- a/crates/ctl/tests/cli.rs
+++ b/crates/ctl/tests/cli.rs
@@ -216,7 +216,7 @@
 fn an_interrupted_demo_leaves_no_process_running() {
     let Some(program) = softswitch_program() else {
         // Testing only this package does not build the softswitch program.
-        panic!("no softswitch program beside swiftlbctl: run 'cargo test --workspace'");
+        panic!("no softswitch program in the directory of swiftlbctl: run 'cargo test --workspace'");
     };
     let directory = TempDir::new("ctl-demo");
     let out = directory.path("");
