--- a/crates/console/src/replay.rs
+++ b/crates/console/src/replay.rs
@@ -16,7 +16,7 @@
 struct RecordedSoftswitch {
     running: bool,
     started_us: u64,
-    /// Values that need no computation; [`Self::snapshot`] adds the others.
+    /// Only the fields that events set directly; [`Self::snapshot`] computes the others.
     snapshot: Snapshot,
     exchanges: BTreeMap<u32, ExchangeState>,
     last_heard_us: BTreeMap<u32, u64>,
