--- a/src/config.rs
+++ b/src/config.rs
@@ -225,7 +225,7 @@
     let home = specifics.number("homeOffice")?;
     let max_retry_after_ms = limits.non_negative("maxRetryAfterMs")?;
     Ok(Settings {
-        agent_count: (settings.non_negative("balancers")? as u32).max(1),
+        softswitch_count: (settings.non_negative("balancers")? as u32).max(1),
         self_index: settings.non_negative("selfIndex")? as u32,
         home: (!pools && home >= 0.0).then_some(home as u32),
         classes: parse_classes(settings, &specifics, pools)?,
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1001,8 +1001,10 @@
     /// processor time. A message consists of the version, the own number, a time stamp, the first number that
     /// it covers, and one byte for each number from there on.
     fn report_to_peers(&self, actions: &mut Vec<Action>) {
-        let Some(home) =
-            self.settings.home.filter(|_| self.settings.may_message_peers && self.settings.agent_count > 1)
+        let Some(home) = self
+            .settings
+            .home
+            .filter(|_| self.settings.may_message_peers && self.settings.softswitch_count > 1)
         else {
             return;
         };
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,9 +1,10 @@
-//! Interface between a host and the decision module: the events that a [`Controller`](crate::Controller) receives
-//! and the actions that it returns.
+//! Interface between a host and the decision module, the [`Controller`](crate::Controller) of a softswitch: the events
+//! that it receives and the actions that it returns.
 //!
 //! The types contain no logic and depend on no protocol, so a host can fill them from any source.
 
-/// Address of an exchange. Opaque to the controller, which only compares and returns it.
+/// Address of the processor that serves an exchange at present. An exchange that is replaced gets another address and
+/// keeps its [`Number`]. Opaque to the controller, which only compares and returns it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExchangeId {
     /// IPv4 address, first byte first.
@@ -15,17 +16,17 @@
 /// Id of a call, assigned by the host and never reused.
 pub type CallId = u32;
 
-/// Number of an exchange (or pool) in the numbering plan; calls name their destination by it.
+/// Number of an exchange (or pool) in the numbering plan: its identity, by which calls name their destination.
 pub type Number = u32;
 
 /// Configuration that a controller receives at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Number of call agents in service, including this one.
-    pub agent_count: u32,
-    /// Index of this call agent, from 0.
+    /// Number of softswitches in service, including this one.
+    pub softswitch_count: u32,
+    /// Index of this softswitch, from 0.
     pub self_index: u32,
-    /// Number of the home exchange; `None` where the exchanges are pools shared by all agents.
+    /// Number of the home exchange; `None` where the exchanges are pools shared by all softswitches.
     pub home: Option<Number>,
     /// Classes of call; events refer to them by index.
     pub classes: Vec<Class>,
@@ -47,7 +48,7 @@
     pub may_cancel: bool,
     /// Whether exchanges may be probed.
     pub may_probe: bool,
-    /// Whether messages may be sent to peer agents.
+    /// Whether messages may be sent to peers, the other softswitches.
     pub may_message_peers: bool,
     /// Longest retry-after that callers honour, in ms; 0 where callers receive none.
     pub max_retry_after_ms: f64,
@@ -63,7 +64,7 @@
     pub overload_factor: f64,
     /// Time for which that multiple must last, in ms.
     pub overload_duration_ms: f64,
-    /// The network retransmits an unanswered set-up after this time, in ms; 0 for never.
+    /// The network retransmits a set-up without a reply after this time, in ms; 0 for never.
     pub retransmit_ms: f64,
     /// Shortest interval between two events, in ms.
     pub tick_ms: f64,
@@ -82,7 +83,7 @@
     pub width: f64,
     /// Mean duration of a call, in ms.
     pub mean_hold_ms: f64,
-    /// Whether a set-up may safely be executed twice.
+    /// Whether a call of the class may safely be set up twice.
     pub idempotent: bool,
     /// Pools that serve the class; empty for any.
     pub pools: Vec<Number>,
@@ -91,7 +92,7 @@
 /// A tenant of the service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Calls per second within its quota, summed over all agents.
+    /// Calls per second within its quota, summed over all softswitches.
     pub quota_per_s: f64,
 }
 
@@ -171,7 +172,7 @@
     FetchFailed,
 }
 
-/// A call offered to this agent.
+/// A call offered to this softswitch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewCall {
     /// Its id.
@@ -207,13 +208,13 @@
     Busy,
     /// Not set up: cranked back or no capacity.
     Congested,
-    /// No answer in time.
+    /// No reply in time.
     TimedOut,
     /// No connection to the exchange.
     NoConnection,
     /// The set-up or the established call was cut.
     Reset,
-    /// Cancelled by this agent.
+    /// Cancelled by this softswitch.
     Cancelled,
     /// Never sent.
     NotSent,
@@ -260,7 +261,7 @@
         /// Time since it was sent, in ms.
         elapsed_ms: f64,
     },
-    /// An attempt ended.
+    /// An attempt, or the call that it established, ended.
     AttemptEnded {
         /// The call.
         call: CallId,
@@ -293,14 +294,14 @@
     ProbeResult {
         /// The exchange.
         exchange: ExchangeId,
-        /// Whether it answered.
+        /// Whether it replied.
         answered: bool,
         /// Time since the probe was sent, in ms; 0 for an unsolicited report.
         elapsed_ms: f64,
         /// Load report, if one was attached.
         report: Option<LoadReport>,
     },
-    /// A message from a peer agent.
+    /// A message from a peer, another softswitch.
     PeerMessage {
         /// Index of the sender.
         from: u32,
@@ -352,7 +353,8 @@
         /// The exchange.
         exchange: ExchangeId,
     },
-    /// Send a message to a peer agent, or with `None` to every peer.
+    /// Send a message to a peer, or with `None` to every peer. The engine of this repository has no transport between
+    /// softswitches and ignores this action; the simulator's adapter carries the messages.
     SendPeerMessage {
         /// Index of the peer.
         to: Option<u32>,
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -534,7 +534,7 @@
     let may_retry_after = keys.flag("policyLimits.retryAfter")?;
     let max_retry_after_ms = keys.at_least("policyLimits.maxRetryAfterMs", 0.0)?;
     Ok(Settings {
-        agent_count: keys.count("balancers")?.max(1),
+        softswitch_count: keys.count("balancers")?.max(1),
         self_index: keys.count("selfIndex")?,
         home: if has_pools { None } else { exchange_number(home as f32) },
         classes: read_classes(&keys, has_pools)?,
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -305,7 +305,7 @@
 fn settings_are_parsed_and_errors_name_the_key() {
     let text = settings_text();
     let settings = read_settings(&text).unwrap();
-    assert_eq!((settings.agent_count, settings.home, settings.classes.len()), (4, Some(0), 3));
+    assert_eq!((settings.softswitch_count, settings.home, settings.classes.len()), (4, Some(0), 3));
     assert_eq!((settings.classes[1].width, settings.classes[1].worth), (2.0, 4.0));
     assert_eq!(read_settings(&format!("{text}future.key=odd words\n")).unwrap(), settings);
     for key in ["balancers", "classes.1.aimMs", "specifics.releaseMs", "invariants.coldFrom", "report.fields"]
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -136,7 +136,7 @@
         });
     }
 
-    /// Delivers a message of a peer agent.
+    /// Delivers a message of a peer, another softswitch.
     pub fn receive(&mut self, from: u32, bytes: &[u8]) {
         self.handle(Event::PeerMessage { from, bytes: bytes.to_vec() });
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -73,18 +73,18 @@
     assert_eq!(host.offer_call(400, 2, 1).sent_to(), Some(1), "warm again");
 }
 
-/// Rule 4 limits all agents together. Many agents, a tenth of them just restarted, are each offered far more calls than
-/// usual to one cold exchange, own calls and calls in transit. A minimum of one set-up for each agent would exceed the
-/// limit.
+/// Rule 4 limits all softswitches together. Many softswitches, a tenth of them just restarted, are each offered far more
+/// calls than usual to one cold exchange, own calls and calls in transit. A minimum of one set-up for each softswitch
+/// would exceed the limit.
 #[test]
 fn rule_4_holds_for_all_agents_together_at_any_number_of_them() {
     use rand::{Rng, SeedableRng};
-    for (agent_count, warm_rate) in [(6_u32, 30.0_f64), (40, 30.0), (150, 40.0)] {
+    for (softswitch_count, warm_rate) in [(6_u32, 30.0_f64), (40, 30.0), (150, 40.0)] {
         for seed in 0..4 {
             let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
-            let cold = agent_count;
+            let cold = softswitch_count;
             let list = |started_ms: f64| {
-                (0..=agent_count)
+                (0..=softswitch_count)
                     .map(|n| {
                         common::list_entry(n, Readiness::Ready, if n == cold { started_ms } else { 0.0 })
                     })
@@ -92,10 +92,15 @@
             };
             let mut settings = settings();
             settings.may_message_peers = false;
-            let start = |agent: u32, now: f64, started_ms: f64| {
-                let own_settings =
-                    Settings { agent_count, self_index: agent, home: Some(agent), ..settings.clone() };
-                let mut controller = Controller::new(own_settings, u64::from(agent) + 1_000 * seed).unwrap();
+            let start = |softswitch: u32, now: f64, started_ms: f64| {
+                let own_settings = Settings {
+                    softswitch_count,
+                    self_index: softswitch,
+                    home: Some(softswitch),
+                    ..settings.clone()
+                };
+                let mut controller =
+                    Controller::new(own_settings, u64::from(softswitch) + 1_000 * seed).unwrap();
                 controller.handle(
                     now,
                     Event::List { kind: ListUpdateKind::Cached, entries: list(started_ms) },
@@ -104,7 +109,7 @@
                 controller
             };
             let mut all: Vec<Controller> =
-                (0..agent_count).map(|agent| start(agent, START_MS, 0.0)).collect();
+                (0..softswitch_count).map(|softswitch| start(softswitch, START_MS, 0.0)).collect();
             let (mut now, mut id) = (START_MS, 0);
             let mut offer = |to: &mut Controller, now: f64, dest: u32, transit_from: Option<u32>| {
                 id += 1;
@@ -136,27 +141,27 @@
             };
             for _ in 0..1_500 {
                 now += 20.0;
-                for agent in &mut all {
-                    if rng.random_bool(0.02 * warm_rate / f64::from(agent_count)) {
-                        offer(agent, now, cold, None);
+                for softswitch in &mut all {
+                    if rng.random_bool(0.02 * warm_rate / f64::from(softswitch_count)) {
+                        offer(softswitch, now, cold, None);
                     }
                 }
             }
             let restarted_at = now;
-            for agent in 0..agent_count {
-                if agent % 10 == 3 {
-                    all[agent as usize] = start(agent, now, restarted_at);
+            for softswitch in 0..softswitch_count {
+                if softswitch % 10 == 3 {
+                    all[softswitch as usize] = start(softswitch, now, restarted_at);
                 }
                 let entries = vec![common::list_entry(cold, Readiness::Ready, restarted_at)];
                 let update = Event::List { kind: ListUpdateKind::Changes, entries };
-                all[agent as usize].handle(now, update, &mut Vec::new());
+                all[softswitch as usize].handle(now, update, &mut Vec::new());
             }
             let mut sent: Vec<f64> = Vec::new();
             while now < restarted_at + 3_000.0 {
-                for agent in &mut all {
-                    if rng.random_bool((0.1 * warm_rate / f64::from(agent_count)).min(1.0)) {
-                        let transit = rng.random_bool(0.4).then_some(agent_count + 7);
-                        sent.extend(offer(agent, now, cold, transit).then_some(now));
+                for softswitch in &mut all {
+                    if rng.random_bool((0.1 * warm_rate / f64::from(softswitch_count)).min(1.0)) {
+                        let transit = rng.random_bool(0.4).then_some(softswitch_count + 7);
+                        sent.extend(offer(softswitch, now, cold, transit).then_some(now));
                     }
                 }
                 now += 20.0;
@@ -173,10 +178,14 @@
                         / 1_000.0;
                 assert!(
                     span as f64 <= 1.1 * max,
-                    "{agent_count} agents, seed {seed}: {span} sent, at most {max}"
+                    "{softswitch_count} softswitches, seed {seed}: {span} sent, at most {max}"
                 );
             }
-            assert!(sent.len() as f64 > 0.5 * warm_rate, "{agent_count} agents: {} sent in 3 s", sent.len());
+            assert!(
+                sent.len() as f64 > 0.5 * warm_rate,
+                "{softswitch_count} softswitches: {} sent in 3 s",
+                sent.len()
+            );
         }
     }
 }
