--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -134,7 +134,7 @@
             mesh.step();
         }
         for softswitch in 0..nodes {
-            mesh.handle_engine_input(softswitch, Input::Drain);
+            mesh.handle_engine_input(softswitch, Input::Stop);
             mesh.now += Duration::from_secs(11);
             mesh.handle_engine_input(softswitch, Input::Wake);
             mesh.now -= Duration::from_secs(11);
--- a/src/engine/messages.rs
+++ b/src/engine/messages.rs
@@ -303,8 +303,8 @@
     /// A new, validated configuration. Settings and the resolver's address change; calls, exchanges and everything
     /// known about them are kept.
     Reload(Box<Config>),
-    /// Stop: for a short time still answer new calls and those already accepted.
-    Drain,
+    /// The process was asked to stop (SIGTERM). For a short time it still answers new calls and those already accepted.
+    Stop,
 }
 
 /// Message to a caller.
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -464,8 +464,8 @@
                 self.probe_result_received(exchange_conn, passed, report)
             }
             Input::Reload(config) => self.reload(config, effects),
-            Input::Drain if self.successor_serves() => self.stop_for_successor(effects),
-            Input::Drain => {
+            Input::Stop if self.successor_serves() => self.stop_for_successor(effects),
+            Input::Stop => {
                 self.record(|_| RecordEvent::Stopping);
                 self.stopping_since.get_or_insert(self.now);
                 self.set_timer(MIN_STOP_TIME, Timer::CheckStopped);
@@ -489,7 +489,7 @@
                 OperatorReply::Metrics(self.metrics.prometheus_text(gauges))
             }
             OperatorRequest::Fleet => OperatorReply::Fleet(self.fleet().to_json()),
-            OperatorRequest::DrainStart => {
+            OperatorRequest::BeginDrain => {
                 if self.draining_since.is_none() {
                     self.record_drain(true, DrainSource::Operator);
                     self.draining_since = Some(self.now);
@@ -497,7 +497,7 @@
                 }
                 OperatorReply::Done
             }
-            OperatorRequest::DrainStop => {
+            OperatorRequest::EndDrain => {
                 if self.draining_since.take().is_some() {
                     self.record_drain(false, DrainSource::Operator);
                 }
@@ -789,7 +789,7 @@
             || self.open_setups >= MAX_OPEN_SETUPS
             || self.open_description_bytes + bytes > MAX_OPEN_DESCRIPTION_BYTES
         {
-            self.metrics.count_rejected(&setup.class);
+            self.metrics.count_refused(&setup.class);
             let reason = if draining { RefusalReason::Draining } else { RefusalReason::TooManySetUps };
             self.record_refusal(uid, reason, self.max_retry_after);
             let message = CallerMessage::Refused { retry_after: self.max_retry_after };
@@ -863,7 +863,7 @@
         let Some(call) = self.remove_call(id, effects) else { return };
         match message {
             CallerMessage::Refused { retry_after } => {
-                self.metrics.count_rejected(&call.class);
+                self.metrics.count_refused(&call.class);
                 self.record_refused_call(&call, retry_after);
             }
             CallerMessage::Failed { busy } => {
@@ -1362,7 +1362,7 @@
         let Phase::Attempting { sent_at, .. } = call.phase else { return };
         call.phase = Phase::Established { exchange };
         // A call may last long, so memory that only the set-up needed is freed.
-        self.metrics.count_completed(&std::mem::take(&mut call.class));
+        self.metrics.count_established(&std::mem::take(&mut call.class));
         call.called_number = None;
         let setup_description = call.description.take();
         let (attempt, elapsed_ms) = (call.attempt_count - 1, duration_to_ms(elapsed(sent_at, self.now)));
--- a/src/engine/sibling.rs
+++ b/src/engine/sibling.rs
@@ -199,7 +199,7 @@
         }
         if std::mem::take(&mut self.stopping_for_successor) {
             // The successor is gone, but the request to stop is still in force.
-            self.handle_input(super::Input::Drain, effects);
+            self.handle_input(super::Input::Stop, effects);
         }
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -219,7 +219,7 @@
                         continue;
                     }
                 },
-                _ => Input::Drain,
+                _ => Input::Stop,
             };
             if loop_sender.send(LoopMessage::Input(input)).is_err() {
                 return;
--- a/src/ops/metrics.rs
+++ b/src/ops/metrics.rs
@@ -49,12 +49,12 @@
     }
 
     /// Counts a call of this class that was established.
-    pub fn count_completed(&mut self, class: &str) {
+    pub fn count_established(&mut self, class: &str) {
         self.class_counts(class).completed += 1;
     }
 
     /// Counts a refused call of this class.
-    pub fn count_rejected(&mut self, class: &str) {
+    pub fn count_refused(&mut self, class: &str) {
         self.class_counts(class).rejected += 1;
     }
 
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -21,10 +21,10 @@
     Readiness,
     /// Metrics of this process.
     Metrics,
-    /// Start a drain: callers are sent away and their connections closed.
-    DrainStart,
+    /// Begin a drain: health checks fail, IAX2 calls are refused, and JSON-lines connections are closed.
+    BeginDrain,
     /// End the drain and accept calls again.
-    DrainStop,
+    EndDrain,
     /// State of the fleet as known to this softswitch, for consoles.
     Fleet,
 }
@@ -33,8 +33,8 @@
 const ENDPOINTS: [(&str, &str, OperatorRequest); 5] = [
     ("/ops/readiness", "GET", OperatorRequest::Readiness),
     ("/ops/stats", "GET", OperatorRequest::Metrics),
-    ("/ops/drain/start", "PUT", OperatorRequest::DrainStart),
-    ("/ops/drain/stop", "PUT", OperatorRequest::DrainStop),
+    ("/ops/drain/start", "PUT", OperatorRequest::BeginDrain),
+    ("/ops/drain/stop", "PUT", OperatorRequest::EndDrain),
     ("/edge/fleet", "GET", OperatorRequest::Fleet),
 ];
 
--- a/tests/common/endpoints.rs
+++ b/tests/common/endpoints.rs
@@ -74,10 +74,10 @@
         }
     }
 
-    /// Drains the softswitch and waits for its end; true if it ended without an error.
+    /// Asks the softswitch to stop and waits for its end; true if it ended without an error.
     pub fn stop(&mut self) -> bool {
-        // Sending fails if an earlier drain has ended the event loop already.
-        let _ = self.loop_sender.send(LoopMessage::Input(Input::Drain));
+        // Sending fails if an earlier request to stop has ended the event loop already.
+        let _ = self.loop_sender.send(LoopMessage::Input(Input::Stop));
         self.thread.take().expect("running thread").join().expect("thread without a panic")
     }
 }
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -38,18 +38,18 @@
 fn the_health_check_fails_as_soon_as_a_drain_starts_and_passes_as_soon_as_it_stops() {
     let mut harness = EngineHarness::new(3);
     assert!(health_check_passes(&mut harness));
-    request(&mut harness, OperatorRequest::DrainStart);
+    request(&mut harness, OperatorRequest::BeginDrain);
     assert!(!health_check_passes(&mut harness));
     // A second request to start has no further effect.
-    request(&mut harness, OperatorRequest::DrainStart);
+    request(&mut harness, OperatorRequest::BeginDrain);
     harness.advance(5_000);
     assert!(!health_check_passes(&mut harness));
     // The process is still ready to serve: readiness does not depend on the drain.
     request(&mut harness, OperatorRequest::Readiness);
     assert!(harness.effects.contains(&Effect::ToOperator { request_id: 1, reply: OperatorReply::Done }));
-    request(&mut harness, OperatorRequest::DrainStop);
+    request(&mut harness, OperatorRequest::EndDrain);
     assert!(health_check_passes(&mut harness));
-    request(&mut harness, OperatorRequest::DrainStop);
+    request(&mut harness, OperatorRequest::EndDrain);
     harness.handle(Input::CallerConnected { caller_conn: 8, front: Front::JsonLines });
     harness.place_call(1, 1, 3_000);
     harness.answer(1, 1);
@@ -63,7 +63,7 @@
 #[test]
 fn during_a_drain_calls_are_served_and_connections_without_an_open_set_up_are_closed() {
     let mut harness = EngineHarness::new(3);
-    request(&mut harness, OperatorRequest::DrainStart);
+    request(&mut harness, OperatorRequest::BeginDrain);
     harness.place_call(1, 1, 3_000);
     harness.handle(Input::CallerConnected { caller_conn: 8, front: Front::JsonLines });
     harness.advance(290);
@@ -80,7 +80,7 @@
 fn a_connection_that_is_used_throughout_a_drain_is_closed_before_4_s() {
     let mut harness = EngineHarness::new(3);
     harness.place_call(1, 1, 3_000);
-    request(&mut harness, OperatorRequest::DrainStart);
+    request(&mut harness, OperatorRequest::BeginDrain);
     harness.advance(1_500);
     harness.place_call(2, 1, 3_000);
     harness.advance(1_000);
@@ -101,7 +101,7 @@
     let setup = harness.new_setup(1, 3_000);
     harness.handle(Input::SetUp { caller_conn: 8, call: call_uid(2), setup });
     harness.answer(2, 1);
-    request(&mut harness, OperatorRequest::DrainStart);
+    request(&mut harness, OperatorRequest::BeginDrain);
     harness.advance(320);
     assert_eq!(closed(&harness), [8]);
     harness.handle(Input::CallerDisconnected { caller_conn: 8 });
@@ -118,7 +118,7 @@
     let mut harness = EngineHarness::new(3);
     harness.place_call(1, 1, 3_000);
     harness.answer(1, 1);
-    request(&mut harness, OperatorRequest::DrainStart);
+    request(&mut harness, OperatorRequest::BeginDrain);
     harness.advance(400);
     harness.handle(Input::CallerDisconnected { caller_conn: CALLER_CONN });
     harness.end_call(1, 1, Outcome::Completed, Reason::Unspecified);
@@ -133,7 +133,7 @@
         [],
         "not sent on connections with health checks only or without a message"
     );
-    request(&mut harness, OperatorRequest::DrainStop);
+    request(&mut harness, OperatorRequest::EndDrain);
     harness.advance(200);
     assert_eq!(harness.caller_messages(1), [], "callers are only about to connect");
     harness.handle(Input::CallerConnected { caller_conn: 9, front: Front::JsonLines });
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -492,7 +492,7 @@
 fn after_the_request_to_stop_it_still_serves_calls_and_exits_with_the_end_of_the_last_one() {
     let mut harness = EngineHarness::new(3);
     harness.place_call(1, 2, 2_000);
-    harness.handle(Input::Drain);
+    harness.handle(Input::Stop);
     harness.advance(500);
     harness.place_call(2, 1, 2_000);
     harness.advance(600);
@@ -513,7 +513,7 @@
     let mut harness = EngineHarness::new(3);
     harness.place_call(1, 1, 3_000);
     harness.answer(1, 1);
-    harness.handle(Input::Drain);
+    harness.handle(Input::Stop);
     harness.advance(9_900);
     assert!(!harness.effects.contains(&Effect::Exit));
     harness.advance(200);
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -102,7 +102,7 @@
     });
     switch
         .loop_sender
-        .send(swiftlb::net::LoopMessage::Input(swiftlb::engine::Input::Drain))
+        .send(swiftlb::net::LoopMessage::Input(swiftlb::engine::Input::Stop))
         .expect("running event loop");
     // A call on a connection opened after the drain request is still served.
     let mut late = JsonLinesConn::connect(switch.address);
@@ -245,7 +245,7 @@
     let call = exchanges[0].receive().expect("a set-up").text("uid");
     switch
         .loop_sender
-        .send(swiftlb::net::LoopMessage::Input(swiftlb::engine::Input::Drain))
+        .send(swiftlb::net::LoopMessage::Input(swiftlb::engine::Input::Stop))
         .expect("running event loop");
     std::thread::sleep(Duration::from_millis(800));
     exchanges[0].send(&stop(&call, 17, r#""note":"user_busy""#));
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -123,15 +123,15 @@
     ) {
         let complete = b"PUT /ops/drain/start HTTP/1.1\r\nHost: a\r\n\r\n";
         let cut = cut.min(complete.len());
-        let expected = if cut == complete.len() { Some(OperatorRequest::DrainStart) } else { None };
+        let expected = if cut == complete.len() { Some(OperatorRequest::BeginDrain) } else { None };
         prop_assert_eq!(ops::parse_request(&complete[..cut], false), Ok(expected));
         let mut corrupt = complete.to_vec();
         corrupt.splice(at..at, noise.iter().copied());
         // Any result is fine, except for a panic or another request.
         if let Ok(Some(request)) = ops::parse_request(&corrupt, false) {
-            prop_assert_eq!(request, OperatorRequest::DrainStart);
+            prop_assert_eq!(request, OperatorRequest::BeginDrain);
         }
-        prop_assert_ne!(ops::parse_request(&noise, false), Ok(Some(OperatorRequest::DrainStart)));
+        prop_assert_ne!(ops::parse_request(&noise, false), Ok(Some(OperatorRequest::BeginDrain)));
         prop_assert_eq!(ops::parse_request(&vec![b'a'; MAX_HEAD_BYTES], false), Err(RequestError::TooLong));
     }
 }
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -163,9 +163,9 @@
     let second = harness.exchange_conn(1);
     assert_ne!(second, exchange_conn);
     harness.handle(Input::ExchangeConnectFailed { exchange_conn: second, refused: true });
-    harness.handle(Input::OperatorRequest { request_id: 1, request: OperatorRequest::DrainStart });
-    harness.handle(Input::OperatorRequest { request_id: 2, request: OperatorRequest::DrainStart });
-    harness.handle(Input::OperatorRequest { request_id: 3, request: OperatorRequest::DrainStop });
+    harness.handle(Input::OperatorRequest { request_id: 1, request: OperatorRequest::BeginDrain });
+    harness.handle(Input::OperatorRequest { request_id: 2, request: OperatorRequest::BeginDrain });
+    harness.handle(Input::OperatorRequest { request_id: 3, request: OperatorRequest::EndDrain });
     harness.advance(1_000);
     let all = events(&harness);
     let connection = |change| Event::ExchangeConnection { exchange: 1, change };
@@ -180,7 +180,7 @@
         all.iter().any(|event| matches!(event, Event::ExpectedDelay { exchange: 2, open_attempts: 0, .. })),
         "{all:?}"
     );
-    harness.handle(Input::Drain);
+    harness.handle(Input::Stop);
     harness.advance(11_000);
     assert_eq!(events(&harness).iter().filter(|event| **event == Event::Stopped).count(), 1);
 }
--- a/tests/replacement.rs
+++ b/tests/replacement.rs
@@ -116,7 +116,7 @@
     old.answer(1, 1);
     old.place_call(2, 1, 3_000);
     let _new = serving_successor(&mut old);
-    old.handle(Input::Drain);
+    old.handle(Input::Stop);
     old.advance(1_000);
     old.handle(Input::HealthCheck { caller_conn: CALLER_CONN, call: call_uid(99) });
     assert_eq!(
@@ -194,7 +194,7 @@
     let _dead = successor(&mut old);
     old.handle(Input::SiblingDisconnected);
     assert!(!old.effects.contains(&Effect::Accept(false)));
-    old.handle(Input::Drain);
+    old.handle(Input::Stop);
     old.advance(800);
     assert!(!old.effects.contains(&Effect::Exit), "a call is open");
     old.end_call(5, 1, Outcome::Busy, Reason::UserBusy);
