--- a/src/decide/learned.rs
+++ b/src/decide/learned.rs
@@ -32,12 +32,12 @@
         let mut rows = vec![row("common", None, &[self.common_delay, self.common_delay_at])];
         for (id, e) in &self.exchanges {
             let (known, free) = e.free_circuits.map_or((0.0, 0.0), |free| (1.0, free));
-            let unanswered = f64::from(u8::from(e.delay_unanswered));
+            let without_reply = f64::from(u8::from(e.delay_without_reply));
             let group = [known, free, e.total_circuits, e.full_at];
             let delay =
-                [e.delay, e.delay_at, unanswered, e.min_setup_ms, e.answered_sent_at, e.last_answer_at];
-            let record = [e.carried, e.cranked_back, e.usual_rate, e.started_ms];
-            rows.push(row("exchange", Some(*id), &[&group[..], &delay, &record].concat()));
+                [e.delay, e.delay_at, without_reply, e.min_setup_ms, e.replied_sent_at, e.last_reply_at];
+            let history = [e.carried, e.cranked_back, e.usual_rate, e.started_ms];
+            rows.push(row("exchange", Some(*id), &[&group[..], &delay, &history].concat()));
         }
         for (number, (rate, at)) in &self.send_rates {
             rows.push(row("rate", None, &[f64::from(*number), *rate, *at]));
@@ -57,7 +57,7 @@
         rows
     }
 
-    /// Expected time from a set-up to this exchange until its answer, in ms.
+    /// Expected set-up time of a call to this exchange, in ms.
     pub fn expected_delay_ms(&self, id: ExchangeId) -> f64 {
         self.expected_setup_ms(id)
     }
@@ -76,12 +76,13 @@
                 let Some(exchange) = self.exchanges.get_mut(&id) else { return };
                 exchange.free_circuits = (*known > 0.0).then_some(*free);
                 (exchange.total_circuits, exchange.full_at) = (*total, *full_at);
-                if let [delay, delay_at, unanswered, min_setup_ms, sent_at, answer_at, record @ ..] = rest {
+                if let [delay, delay_at, without_reply, min_setup_ms, sent_at, reply_at, history @ ..] = rest
+                {
                     (exchange.delay, exchange.delay_at) = (delay.max(0.0), *delay_at);
-                    (exchange.delay_unanswered, exchange.min_setup_ms) =
-                        (*unanswered > 0.0, min_setup_from(*min_setup_ms));
-                    (exchange.answered_sent_at, exchange.last_answer_at) = (*sent_at, *answer_at);
-                    apply_record(exchange, record);
+                    (exchange.delay_without_reply, exchange.min_setup_ms) =
+                        (*without_reply > 0.0, min_setup_from(*min_setup_ms));
+                    (exchange.replied_sent_at, exchange.last_reply_at) = (*sent_at, *reply_at);
+                    apply_history(exchange, history);
                 }
             }
             ("rate", _, [exchange, rate, at, ..]) => {
@@ -105,11 +106,11 @@
     if value >= 1e300 { f64::MAX } else { value }
 }
 
-fn apply_record(exchange: &mut Exchange, record: &[f64]) {
-    let [carried, cranked_back, usual_rate, started_ms, ..] = record else { return };
+fn apply_history(exchange: &mut Exchange, history: &[f64]) {
+    let [carried, cranked_back, usual_rate, started_ms, ..] = history else { return };
     (exchange.carried, exchange.cranked_back) = (*carried, *cranked_back);
     if exchange.started_ms == *started_ms {
-        // The other process spends its own credit for a cold exchange, so this process starts with none.
+        // The other process uses the cold credit of this exchange, so this process starts with none.
         (exchange.usual_rate, exchange.cold_credit) = (*usual_rate, 0.0);
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -185,7 +185,7 @@
         self.handle(Event::Answered { call, attempt: 0, exchange: exchange_id(to), elapsed_ms });
     }
 
-    /// The attempt ends without an answer.
+    /// The attempt ends without an answer, 40 ms after it was sent.
     pub fn end_attempt(
         &mut self,
         call: CallId,
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -1,4 +1,4 @@
-//! Tests of route choice, transit, crank-back, admission, and reports to and from the peers.
+//! Tests of route choice, transit, crank-back, admission, and messages to and from the peers.
 
 mod common;
 
@@ -11,7 +11,7 @@
 const MAINTENANCE_TAG: u64 = 1 << 32;
 
 #[test]
-fn a_call_goes_direct_while_its_group_has_room() {
+fn a_call_goes_direct_while_its_group_has_free_circuits() {
     for seed in 0..SEEDS {
         let mut host = Host::mesh(3, seed);
         host.report_free_circuits(1, 2.0, 30.0);
@@ -41,9 +41,10 @@
     }
 }
 
-/// Two tandems are sampled where peers send no reports, six where they do; the one with most free circuits is chosen.
+/// Two tandems are sampled where the settings allow no messages to peers, six where they do; the one with most free
+/// circuits is chosen.
 #[test]
-fn tandems_are_sampled_at_random_and_more_of_them_where_peers_send_reports() {
+fn tandems_are_sampled_at_random_and_more_of_them_where_peers_send_messages() {
     let picked = |may_message_peers: bool| -> std::collections::BTreeSet<u32> {
         (0..60)
             .filter_map(|seed| {
@@ -64,8 +65,8 @@
     assert!(more.len() >= 3);
 }
 
-/// In large deployments a third to a half of the pairs of exchanges have no group, and most random tandems lacked one
-/// of the two legs.
+/// In large deployments a third to a half of the pairs of exchanges have no group. When all tandems were sampled, most
+/// of the samples lacked one of the two legs.
 #[test]
 fn only_tandems_with_an_own_group_are_sampled() {
     for seed in 0..SEEDS {
@@ -90,8 +91,8 @@
     assert_eq!(host.offer_call(2, 0, 1).sent_to(), None, "overflow leaves the reserve free");
 }
 
-/// At 80 exchanges two of five calls over a tandem not used before were cranked back. The rule has a cost where a leg
-/// was only full at its first call: it stays unused for a minute.
+/// In a mesh of 80 exchanges, two of five calls over a tandem not used before were cranked back. The rule has a cost
+/// where a leg was only full at its first call: it stays unused for a minute.
 #[test]
 fn tandems_that_carried_a_call_are_preferred_and_a_leg_that_cranked_back_its_first_call_counts_as_absent() {
     for seed in 0..SEEDS {
@@ -175,11 +176,12 @@
     assert_eq!(host.offer_call(4, 0, 1).sent_to(), Some(2));
 }
 
-/// At 80 exchanges without peer messages five of six calls over a leg not used before were cranked back. Tandems with
-/// large groups, and those that cranked few calls back, have groups to most others. The rule has a cost where a
-/// tandem with a poor record is the only one with a group to the destination and this is not known of the others yet.
+/// In a mesh of 80 exchanges without peer messages, five of six calls over a leg not used before were cranked back.
+/// Tandems with large groups, and those that cranked few calls back, have groups to most others. The rule has a cost
+/// where a tandem with a low success ratio is the only one with a group to the destination and this is not known of
+/// the others yet.
 #[test]
-fn unused_legs_are_sampled_at_the_tandems_with_the_best_record() {
+fn unused_legs_are_sampled_at_the_tandems_with_the_best_success_ratio() {
     let mut picked = std::collections::BTreeSet::new();
     for seed in 0..40 {
         let mut host = Host::mesh(14, seed);
@@ -188,7 +190,7 @@
         host.restart_with_exchanges(settings, seed, 14);
         host.report_free_circuits(1, 0.0, 0.0);
         (2..14).for_each(|n| host.report_free_circuits(n, 9.0, if n < 6 { 40.0 } else { 9.0 }));
-        let first = host.offer_call(1, 0, 1).sent_to().expect("there is room");
+        let first = host.offer_call(1, 0, 1).sent_to().expect("there are free circuits");
         assert!(first < 6, "large groups first, not {first}");
         let next = host.end_attempt(1, 0, first, Outcome::Congested, Reason::CrankBack).sent_to().unwrap();
         host.end_attempt(1, 1, next, Outcome::Congested, Reason::CrankBack);
@@ -203,8 +205,8 @@
     );
 }
 
-/// A third of the calls of pairs without a group was refused without an attempt, because a tandem without free
-/// circuits was sampled.
+/// A third of the calls between exchanges without a group was refused without an attempt, because a tandem without
+/// free circuits was sampled.
 #[test]
 fn a_first_route_is_sampled_among_tandems_with_free_circuits() {
     for seed in 0..SEEDS {
@@ -229,7 +231,8 @@
     reports
 }
 
-/// A report of peer `from` on the numbers 0, 1, 2, and so on: free circuits, 255 for no group, 254 for unknown.
+/// A message of peer `from` on the exchange numbers 0, 1, 2, and so on: free circuits, 255 for no group, 254 for
+/// unknown.
 fn message(from: u8, stamp: u8, group_states: &[u8]) -> Vec<u8> {
     [&[2, from, 0, stamp, 0, 0, 0], group_states].concat()
 }
@@ -311,7 +314,7 @@
     assert_eq!(host.offer_call(3, 0, 6).sent_to(), None, "and none of them becomes a destination");
 }
 
-/// A message covers 249 numbers; more go into several messages, each complete for the numbers that it covers.
+/// A peer message covers 249 exchange numbers; more go into several messages, each complete for those that it covers.
 #[test]
 fn reports_to_peers_cover_every_number_of_a_large_mesh() {
     let mut host = Host::mesh(4, 1);
@@ -336,7 +339,7 @@
     assert!(!free_to_598.is_empty() && free_to_598.iter().all(|free| **free == 17), "{free_to_598:?}");
 }
 
-/// Incident i5995e1: while other agents were down, their callers came here, and some called this very exchange.
+/// While other softswitches were down, their callers came here, and some called the own exchange as their destination.
 #[test]
 fn a_call_for_the_own_exchange_is_never_sent_there() {
     let mut host = Host::mesh(4, 1);
@@ -346,9 +349,9 @@
     }
 }
 
-/// Incident i13f11e: on a full group, calls of high worth were blocked as often as calls of low worth.
+/// On a full group, calls of high worth were blocked as often as calls of low worth.
 #[test]
-fn a_short_group_keeps_a_circuit_for_calls_of_higher_worth() {
+fn a_recently_full_group_keeps_a_circuit_for_calls_of_higher_worth() {
     let mut host = Host::mesh(2, 1);
     host.report_free_circuits(1, 0.0, 30.0);
     host.report_free_circuits(1, 1.0, 30.0);
@@ -361,13 +364,13 @@
     host.answer(2, 1, 40.0);
     host.advance(60_000.0);
     host.report_free_circuits(1, 1.0, 30.0);
-    assert_eq!(host.offer_call(3, 0, 1).sent_to(), Some(1), "the group is no longer short");
+    assert_eq!(host.offer_call(3, 0, 1).sent_to(), Some(1), "the group is no longer recently full");
 }
 
-/// On short groups 70% of the calls of the wide class were served and 90% of the others, because a wide call had to
-/// leave the reserve on top of its width. The rule has a small cost where the wide class is worth nothing.
+/// On recently full groups 70% of the calls of the wide class were served and 90% of the others, because a wide call
+/// had to leave the reserve on top of its width. The rule has a small cost where the wide class is without worth.
 #[test]
-fn on_a_short_group_a_wide_call_needs_as_many_free_circuits_as_a_narrow_call_of_low_worth() {
+fn on_a_recently_full_group_a_wide_call_needs_as_many_free_circuits_as_a_narrow_call_of_low_worth() {
     for (free, goes) in [(1.0, false), (2.0, true)] {
         for class in [0, 1] {
             let mut host = Host::mesh(2, 1);
@@ -416,8 +419,8 @@
     assert_eq!(host.offer_call_to_number(4, 1, 77).sent_to(), Some(1));
 }
 
-/// Second legs are judged by the reports of peers, so each agent reports its free circuits and can read such a
-/// report.
+/// Second legs are judged by the messages of peers, so each softswitch reports its free circuits and can read such a
+/// message.
 #[test]
 fn free_circuits_are_reported_to_the_peers_and_the_report_is_understood() {
     let mut host = Host::mesh(4, 1);
@@ -438,7 +441,7 @@
     assert!(reports.iter().all(|bytes| bytes.len() <= 256));
 }
 
-/// Cut calls return all at once (seen at jateng big-1), and no answer is late yet when the overload begins.
+/// Cut calls return all at once (seen in a simulated large mesh), and no answer is late yet when the overload begins.
 #[test]
 fn a_burst_is_shed_by_the_backlog_before_any_answer_is_late() {
     let mut host = Host::mesh(4, 1);
@@ -448,9 +451,9 @@
     assert!(host.offer_call(100, 0, 1).sent_to().is_none());
 }
 
-/// Incident i590c1c: set-ups that hang at one dead exchange blocked the calls to the others.
+/// Set-ups that hung at one dead exchange counted as backlog of the own processor and blocked the calls to all others.
 #[test]
-fn attempts_stuck_at_one_exchange_do_not_shed_calls_to_another() {
+fn attempts_that_hang_at_one_exchange_do_not_shed_calls_to_another() {
     let mut host = Host::mesh(3, 1);
     (1..3).for_each(|n| host.report_free_circuits(n, 1_000.0, 1_000.0));
     for id in 0..8 {
@@ -462,9 +465,9 @@
     assert_eq!(host.offer_call(102, 0, 1).sent_to(), None, "and all other calls to it are shed");
 }
 
-/// Incident i4fd528: with only one call to each exchange every few seconds, an overload of the own processor was
-/// forgotten between two of them. The common delay of set-ups therefore applies to all exchanges. It may shed a call
-/// too many just after an overload.
+/// With only one call to each exchange every few seconds, the delay that an overload of the own processor had caused
+/// decayed between two of them. The common delay therefore applies to all exchanges. It may shed a call too many just
+/// after an overload.
 #[test]
 fn the_delay_of_the_own_processor_applies_to_exchanges_that_no_call_went_to() {
     let mut host = Host::mesh(40, 1);
@@ -482,7 +485,7 @@
     assert_eq!(
         host.offer_call(103, 0, 32).sent_to(),
         None,
-        "no answer from two exchanges: the own processor is slow"
+        "no reply from two exchanges: the own processor is slow"
     );
 }
 
@@ -547,7 +550,7 @@
 }
 
 #[test]
-fn calls_to_a_healthy_exchange_with_a_long_path_are_not_shed() {
+fn calls_to_an_exchange_with_a_long_path_are_not_shed_while_its_processor_is_not_loaded() {
     let mut host = Host::mesh(3, 1);
     for call in 1..=20 {
         // Always 300 ms of the target of 1,000 ms: nothing waits at the exchange.
@@ -561,7 +564,7 @@
     assert_eq!(host.offer_call(23, 0, 1).sent_to(), None, "600 ms of wait beyond the path are too much");
 }
 
-/// One lost answer among others excluded its exchange until the call timed out and for seconds afterwards.
+/// One lost reply among others excluded its exchange until the call timed out and for seconds afterwards.
 #[test]
 fn an_open_attempt_shows_no_wait_once_a_later_one_is_answered() {
     let mut host = Host::mesh(2, 1);
@@ -573,10 +576,10 @@
     assert_eq!(
         host.offer_call(3, 0, 1).sent_to(),
         None,
-        "no attempt was answered for so long: the exchange may be stuck"
+        "no attempt got a reply for so long: the exchange may have failed"
     );
     host.answer(2, 1, 40.0);
-    assert_eq!(host.offer_call(4, 0, 1).sent_to(), Some(1), "the answer to the first attempt is lost");
+    assert_eq!(host.offer_call(4, 0, 1).sent_to(), Some(1), "the reply to the first attempt is lost");
     host.answer(4, 1, 40.0);
     host.advance(2_000.0);
     host.handle(Event::AttemptEnded {
@@ -592,16 +595,16 @@
     assert_eq!(host.offer_call(5, 0, 1).sent_to(), Some(1), "its time-out shows no wait either");
 }
 
-/// After a stall an exchange was left out for as long again, because nothing was sent there that could have shown
+/// After a stall an exchange got no calls for as long again, because nothing was sent there that could have shown
 /// that the stall was over.
 #[test]
-fn an_exchange_that_seems_stuck_gets_trial_calls_at_doubling_intervals_and_all_calls_once_it_answers() {
+fn a_silent_exchange_gets_trial_calls_at_doubling_intervals_and_all_calls_once_it_replies() {
     let mut host = Host::mesh(2, 1);
     host.report_free_circuits(1, 30.0, 30.0);
     let sent = |response: &common::Response| response.sent_to() == Some(1);
     assert!(sent(&host.offer_call(1, 0, 1)));
     host.advance(300.0);
-    assert!(!sent(&host.offer_call(2, 0, 1)), "the exchange may be stuck");
+    assert!(!sent(&host.offer_call(2, 0, 1)), "the exchange may have failed");
     host.advance(100.0);
     assert!(sent(&host.offer_call(3, 0, 1)), "a trial call");
     // One trial call at a time, at doubling intervals.
@@ -616,7 +619,7 @@
     assert!((10..13).all(|call| sent(&host.offer_call(call, 0, 1))));
 }
 
-/// An exchange that answered four of five set-ups with a signalling fault lost four of five calls, where four
+/// An exchange that replied to four of five set-ups with a signalling fault lost four of five calls, where four
 /// attempts per call would have lost only a few.
 #[test]
 fn a_signalling_fault_is_retried_at_the_same_exchange_and_a_busy_number_is_not() {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -19,7 +19,7 @@
     let response = host.end_attempt(1, 0, 1, Outcome::TimedOut, Reason::Unspecified);
     assert_eq!(response.actions, [Action::Fail { call: 1 }]);
     let late = host.end_attempt(1, 0, 1, Outcome::Congested, Reason::NoCircuit);
-    assert_eq!(late.actions, [], "no action after the final answer");
+    assert_eq!(late.actions, [], "no action after the final outcome");
 }
 
 #[test]
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn rule_4_a_cold_exchange_gets_fewer_set_ups_than_its_budget() {
+fn rule_4_a_cold_exchange_gets_fewer_set_ups_than_the_overload_at_which_it_fails() {
     let mut host = Host::mesh(3, 1);
     (1..3).for_each(|n| host.report_free_circuits(n, 1_000.0, 1_000.0));
     // Eight seconds of two calls per second set the usual rate to exchange 1.
@@ -77,7 +77,7 @@
 /// calls than usual to one cold exchange, own calls and calls in transit. A minimum of one set-up for each softswitch
 /// would exceed the limit.
 #[test]
-fn rule_4_holds_for_all_agents_together_at_any_number_of_them() {
+fn rule_4_holds_for_all_softswitches_together_at_any_number_of_them() {
     use rand::{Rng, SeedableRng};
     for (softswitch_count, warm_rate) in [(6_u32, 30.0_f64), (40, 30.0), (150, 40.0)] {
         for seed in 0..4 {
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn a_call_that_is_not_idempotent_is_not_sent_again_once_it_may_have_been_executed() {
+fn a_call_that_is_not_idempotent_is_not_sent_again_once_it_may_have_been_set_up() {
     let mut settings = settings();
     settings.classes[0].idempotent = false;
     let mut host = Host::mesh(4, 1);
@@ -428,7 +428,7 @@
                         let call_state = observed.get_mut(call).unwrap();
                         assert!(
                             !call_state.ended && call_state.open_attempt.is_none(),
-                            "one final answer, with no open attempt"
+                            "one final outcome, with no open attempt"
                         );
                         assert!(now <= call_state.deadline + 600.0);
                         call_state.ended = true;
@@ -445,7 +445,7 @@
         for (id, call) in &observed {
             assert!(
                 call.ended || call.open_attempt.is_some() || now <= call.deadline + 600.0,
-                "rule 1: call {id} got no final answer in time"
+                "rule 1: call {id} got no final outcome in time"
             );
         }
     }
