--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -19,7 +19,7 @@
     let response = host.end_attempt(1, 0, 1, Outcome::TimedOut, Reason::Unspecified);
     assert_eq!(response.actions, [Action::Fail { call: 1 }]);
     let late = host.end_attempt(1, 0, 1, Outcome::Congested, Reason::NoCircuit);
-    assert_eq!(late.actions, [], "no action after the final answer");
+    assert_eq!(late.actions, [], "no action after the final outcome");
 }
 
 #[test]
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn rule_4_a_cold_exchange_gets_fewer_set_ups_than_its_budget() {
+fn rule_4_a_cold_exchange_gets_fewer_set_ups_than_the_overload_at_which_it_fails() {
     let mut host = Host::mesh(3, 1);
     (1..3).for_each(|n| host.report_free_circuits(n, 1_000.0, 1_000.0));
     // Eight seconds of two calls per second set the usual rate to exchange 1.
@@ -73,18 +73,18 @@
     assert_eq!(host.offer_call(400, 2, 1).sent_to(), Some(1), "warm again");
 }
 
-/// Rule 4 limits all agents together. Many agents, a tenth of them just restarted, are each offered far more calls than
-/// usual to one cold exchange, own calls and calls in transit. A minimum of one set-up for each agent would exceed the
-/// limit.
+/// Rule 4 limits all softswitches together. Many softswitches, a tenth of them just restarted, are each offered far more
+/// calls than usual to one cold exchange, own calls and calls in transit. A minimum of one set-up for each softswitch
+/// would exceed the limit.
 #[test]
-fn rule_4_holds_for_all_agents_together_at_any_number_of_them() {
+fn rule_4_holds_for_all_softswitches_together_at_any_number_of_them() {
     use rand::{Rng, SeedableRng};
-    for (agent_count, warm_rate) in [(6_u32, 30.0_f64), (40, 30.0), (150, 40.0)] {
+    for (softswitch_count, warm_rate) in [(6_u32, 30.0_f64), (40, 30.0), (150, 40.0)] {
         for seed in 0..4 {
             let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
-            let cold = agent_count;
+            let cold = softswitch_count;
             let list = |started_ms: f64| {
-                (0..=agent_count)
+                (0..=softswitch_count)
                     .map(|n| {
                         common::list_entry(n, Readiness::Ready, if n == cold { started_ms } else { 0.0 })
                     })
@@ -92,10 +92,15 @@
             };
             let mut settings = settings();
             settings.may_message_peers = false;
-            let start = |agent: u32, now: f64, started_ms: f64| {
-                let own_settings =
-                    Settings { agent_count, self_index: agent, home: Some(agent), ..settings.clone() };
-                let mut controller = Controller::new(own_settings, u64::from(agent) + 1_000 * seed).unwrap();
+            let start = |softswitch: u32, now: f64, started_ms: f64| {
+                let own_settings = Settings {
+                    softswitch_count,
+                    self_index: softswitch,
+                    home: Some(softswitch),
+                    ..settings.clone()
+                };
+                let mut controller =
+                    Controller::new(own_settings, u64::from(softswitch) + 1_000 * seed).unwrap();
                 controller.handle(
                     now,
                     Event::List { kind: ListUpdateKind::Cached, entries: list(started_ms) },
@@ -104,7 +109,7 @@
                 controller
             };
             let mut all: Vec<Controller> =
-                (0..agent_count).map(|agent| start(agent, START_MS, 0.0)).collect();
+                (0..softswitch_count).map(|softswitch| start(softswitch, START_MS, 0.0)).collect();
             let (mut now, mut id) = (START_MS, 0);
             let mut offer = |to: &mut Controller, now: f64, dest: u32, transit_from: Option<u32>| {
                 id += 1;
@@ -136,27 +141,27 @@
             };
             for _ in 0..1_500 {
                 now += 20.0;
-                for agent in &mut all {
-                    if rng.random_bool(0.02 * warm_rate / f64::from(agent_count)) {
-                        offer(agent, now, cold, None);
+                for softswitch in &mut all {
+                    if rng.random_bool(0.02 * warm_rate / f64::from(softswitch_count)) {
+                        offer(softswitch, now, cold, None);
                     }
                 }
             }
             let restarted_at = now;
-            for agent in 0..agent_count {
-                if agent % 10 == 3 {
-                    all[agent as usize] = start(agent, now, restarted_at);
+            for softswitch in 0..softswitch_count {
+                if softswitch % 10 == 3 {
+                    all[softswitch as usize] = start(softswitch, now, restarted_at);
                 }
                 let entries = vec![common::list_entry(cold, Readiness::Ready, restarted_at)];
                 let update = Event::List { kind: ListUpdateKind::Changes, entries };
-                all[agent as usize].handle(now, update, &mut Vec::new());
+                all[softswitch as usize].handle(now, update, &mut Vec::new());
             }
             let mut sent: Vec<f64> = Vec::new();
             while now < restarted_at + 3_000.0 {
-                for agent in &mut all {
-                    if rng.random_bool((0.1 * warm_rate / f64::from(agent_count)).min(1.0)) {
-                        let transit = rng.random_bool(0.4).then_some(agent_count + 7);
-                        sent.extend(offer(agent, now, cold, transit).then_some(now));
+                for softswitch in &mut all {
+                    if rng.random_bool((0.1 * warm_rate / f64::from(softswitch_count)).min(1.0)) {
+                        let transit = rng.random_bool(0.4).then_some(softswitch_count + 7);
+                        sent.extend(offer(softswitch, now, cold, transit).then_some(now));
                     }
                 }
                 now += 20.0;
@@ -173,10 +178,14 @@
                         / 1_000.0;
                 assert!(
                     span as f64 <= 1.1 * max,
-                    "{agent_count} agents, seed {seed}: {span} sent, at most {max}"
+                    "{softswitch_count} softswitches, seed {seed}: {span} sent, at most {max}"
                 );
             }
-            assert!(sent.len() as f64 > 0.5 * warm_rate, "{agent_count} agents: {} sent in 3 s", sent.len());
+            assert!(
+                sent.len() as f64 > 0.5 * warm_rate,
+                "{softswitch_count} softswitches: {} sent in 3 s",
+                sent.len()
+            );
         }
     }
 }
@@ -203,7 +212,7 @@
 }
 
 #[test]
-fn a_call_that_is_not_idempotent_is_not_sent_again_once_it_may_have_been_executed() {
+fn a_call_that_is_not_idempotent_is_not_sent_again_once_it_may_have_been_set_up() {
     let mut settings = settings();
     settings.classes[0].idempotent = false;
     let mut host = Host::mesh(4, 1);
@@ -419,7 +428,7 @@
                         let call_state = observed.get_mut(call).unwrap();
                         assert!(
                             !call_state.ended && call_state.open_attempt.is_none(),
-                            "one final answer, with no open attempt"
+                            "one final outcome, with no open attempt"
                         );
                         assert!(now <= call_state.deadline + 600.0);
                         call_state.ended = true;
@@ -436,7 +445,7 @@
         for (id, call) in &observed {
             assert!(
                 call.ended || call.open_attempt.is_some() || now <= call.deadline + 600.0,
-                "rule 1: call {id} got no final answer in time"
+                "rule 1: call {id} got no final outcome in time"
             );
         }
     }
