--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -65,7 +65,7 @@
             Some("report") => report::run(parser)?,
             _ => {
                 return Err(CommandError::InvalidInput(format!(
-                    "no such verb: {}\n{USAGE}",
+                    "unknown command: {}\n{USAGE}",
                     command.to_string_lossy()
                 )));
             }
--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/report.rs
@@ -43,7 +43,7 @@
         }
     }
     if paths.is_empty() {
-        return Err(CommandError::InvalidInput(format!("no file or folder to read\n{USAGE}")));
+        return Err(CommandError::InvalidInput(format!("no file or directory to read\n{USAGE}")));
     }
     let out =
         out.ok_or_else(|| CommandError::InvalidInput("--out: expected the file for the page".to_owned()))?;
--- a/crates/ctl/tests/cli.rs
+++ b/crates/ctl/tests/cli.rs
@@ -105,14 +105,14 @@
     let directory = TempDir::new("ctl-wrong");
     let out = directory.path("r.html");
     for (args, message) in [
-        (vec!["fly"], "swiftlbctl: no such verb: fly"),
+        (vec!["fly"], "swiftlbctl: unknown command: fly"),
         (vec!["demo", "--seconds", "1"], "swiftlbctl: --seconds: expected a number from 5 to 3600"),
         (
             vec!["demo", "--incident", "flood"],
             "swiftlbctl: --incident: no incident is built in under the name 'flood'",
         ),
         (vec!["demo", "--nodes", "2"], "swiftlbctl: --nodes: the incident is at node 2: expected 3 or more"),
-        (vec!["report"], "swiftlbctl: no file or folder to read"),
+        (vec!["report"], "swiftlbctl: no file or directory to read"),
         (vec!["report", "x"], "swiftlbctl: --out: expected the file for the page"),
         (
             vec!["report", "x", "--out", &out, "--from", "noon"],
--- a/crates/ctl/tests/incidents.rs
+++ b/crates/ctl/tests/incidents.rs
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_replaced_node_is_reported_as_replaced() {
+fn a_replacement_is_one_incident_of_the_replaced_node() {
     let (_, analysis) =
         run_and_analyze("replace", vec![scripted(15_000, 10_000, 2, ScriptedKind::Replace)], 2, &[]);
     let replaced = incidents_of_kind(&analysis, IncidentKind::NodeReplaced);
--- a/crates/planner/tests/solver.rs
+++ b/crates/planner/tests/solver.rs
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn conflicting_constraints_are_a_minimal_set() {
+fn minimal_conflicting_constraints_are_found_exactly_for_infeasible_networks() {
     let (mut with_transit_limits, mut sizes) = (0, [0; 8]);
     for seed in 0..600 {
         let net = Network::parse(&network_json(seed)).expect("a valid network");
--- a/crates/record/src/format.rs
+++ b/crates/record/src/format.rs
@@ -85,7 +85,7 @@
     /// Records in chronological order.
     Records,
     /// Records of earlier files of the run that describe the current state, such as classes, exchanges and groups.
-    /// They keep their time_range_us.
+    /// They keep their times.
     Context,
     /// Index of the record blocks of the file.
     Index,
--- a/crates/record/src/recorder.rs
+++ b/crates/record/src/recorder.rs
@@ -322,7 +322,7 @@
         self.enforce_budget()
     }
 
-    /// Removes old files until the others and the file just opened_at fit into the budget.
+    /// Removes old files until the others and the file just opened fit into the budget.
     fn enforce_budget(&mut self) -> io::Result<()> {
         for name in self.retention().files_to_remove(&self.storage.list()?) {
             match self.storage.remove(&name) {
--- a/crates/record/src/retention.rs
+++ b/crates/record/src/retention.rs
@@ -35,7 +35,7 @@
     pub max_file_bytes: u64,
     /// Age at which a file is closed.
     pub max_file_age: Duration,
-    /// Limit of the total_bytes size of all record files in the directory, in bytes.
+    /// Limit of the total size of all record files in the directory, in bytes.
     pub budget_bytes: u64,
 }
 
--- a/crates/record/tests/files.rs
+++ b/crates/record/tests/files.rs
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_call_takes_between_16_and_64_bytes() {
+fn a_recorded_call_takes_between_16_and_64_bytes() {
     // Each call has the records of a softswitch: set-up, attempt, answer, release and two states of a group.
     let (calls, written) = steady_load(20_000);
     let (file, _) = write_file(&written, usize::MAX);
--- a/crates/report/src/incident/affected_calls.rs
+++ b/crates/report/src/incident/affected_calls.rs
@@ -33,13 +33,12 @@
 /// What an event means for the call that it concerns.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct CallUpdate {
-    /// The call.
     pub(super) call_key: CallKey,
     /// Whether the destination itself answered the call, not a tandem.
     pub(super) direct: bool,
     /// Destination of the call, if the event ends its set-up.
     pub(super) dest: Option<u32>,
-    /// Exchange where an attempt was open when the call was refused, failed or was abandoned.
+    /// Exchange where an attempt was open when the call was refused, failed or abandoned.
     pub(super) attempt_at: Option<u32>,
 }
 
@@ -117,7 +116,7 @@
         let attempt_at = open.attempt_at.filter(|_| impact != Impact::Delayed);
         let mut exchanges: Vec<u32> =
             attempt_at.into_iter().chain(open.failed_at.iter().rev().copied()).collect();
-        // A call that was never sent was kept from its destination.
+        // A lost call may never have been sent there: an incident of its destination may have kept it from being sent.
         if impact == Impact::Lost {
             exchanges.push(open.dest);
         }
@@ -129,8 +128,9 @@
     }
 
     /// Attributes the calls that were affected up to this time. The exchanges of a call are searched in order for an
-    /// incident that had begun by then and had not ended long before; of several at one exchange, the one that began
-    /// last is taken. A call without such an incident is dropped: at that age all incidents that could apply are known.
+    /// incident that had begun by then and had not ended more than `MAX_TIME_AFTER_END_US` before; of several at one
+    /// exchange, the one that began last is taken. A call without such an incident is dropped: at that age all
+    /// incidents that could apply are known.
     pub(super) fn attribute_until(&mut self, until_us: u64, incidents: &[&Incident]) {
         while self.unattributed.front().is_some_and(|(at_us, ..)| *at_us <= until_us) {
             let Some((at_us, impact, exchanges)) = self.unattributed.pop_front() else { return };
--- a/crates/report/src/incident/episode.rs
+++ b/crates/report/src/incident/episode.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// Whether one incident can have triggered another, judged by their kinds and exchanges.
+/// Whether one incident can have triggered another, judged by their kinds and exchanges. A list lag triggers none.
 fn can_be_triggered_by(incident: &Incident, trigger: &Incident) -> bool {
     if trigger.kind == IncidentKind::ListLag || trigger_depth(incident.kind) <= trigger_depth(trigger.kind) {
         return false;
@@ -50,9 +50,9 @@
     }
 }
 
-/// Sets the trigger of each incident, if there is one: an incident that had begun by then and had not ended long
-/// before, preferably of the same exchange, and of several the one that began last. Expects the incidents in the order
-/// of their beginnings.
+/// Sets the trigger of each incident, if there is one: an incident that had begun by then (within
+/// `BEGIN_UNCERTAINTY_US`) and had not ended more than `MAX_TRIGGER_DELAY_US` before, preferably of the same exchange,
+/// and of several the one that began last. Expects the incidents in the order of their beginnings.
 pub fn find_triggers(incidents: &mut [Incident]) {
     for i in 0..incidents.len() {
         let incident = &incidents[i];
--- a/crates/report/src/incident/list.rs
+++ b/crates/report/src/incident/list.rs
@@ -6,10 +6,13 @@
 
 use super::{AffectedCalls, Incident, IncidentKind};
 
-/// Longest delay of a change that is not a lag. The platform's own delay is a part of it.
+/// Longest time until the list shows a change that does not count as a lag. The platform's own delay is a part of it.
 const MAX_LIST_DELAY_US: u64 = 4_000_000;
-/// Evidence of a lag that begins this soon after the end of the last one belongs to that.
+/// A lag that begins less than this after the end of the last one continues it.
 const MAX_LAG_GAP_US: u64 = 15_000_000;
+/// An entry gives no delay if its change happened this long ago: such a start lies before the records. The limit also
+/// applies to removals.
+const MAX_CHANGE_AGE_US: u64 = 120_000_000;
 
 /// Compares the list of exchanges with what is known from connections.
 #[derive(Debug, Default)]
@@ -24,7 +27,7 @@
 
 impl ListLagDetector {
     /// Processes an entry of the list. `died_us` is when the exchange last died, as far as known. Returns the label and
-    /// the detail of an event for the report if the entry is new.
+    /// the detail of an event for the report if the entry is a change.
     pub(super) fn entry_listed(
         &mut self,
         at_us: u64,
@@ -44,7 +47,7 @@
         if previous == Some((readiness, started_us)) {
             return None;
         }
-        // The entries of the first list are no changes.
+        // A new entry without a start time is one of the first list, not a change.
         let is_initial = previous.is_none() && started_us == 0;
         let happened_us = match readiness {
             ListedReadiness::Removed => died_us,
@@ -53,8 +56,7 @@
         };
         let delay_us =
             happened_us.map(|happened_us| at_us.saturating_sub(happened_us)).filter(|delay_us| *delay_us > 0);
-        // A start this long ago lies before the records, so the entry says nothing about a delay.
-        let delay_us = delay_us.filter(|delay_us| *delay_us < 120_000_000);
+        let delay_us = delay_us.filter(|delay_us| *delay_us < MAX_CHANGE_AGE_US);
         if let Some((delay_us, happened_us)) =
             delay_us.zip(happened_us).filter(|(delay_us, _)| *delay_us > MAX_LIST_DELAY_US)
         {
--- a/crates/report/src/incident/mod.rs
+++ b/crates/report/src/incident/mod.rs
@@ -285,10 +285,10 @@
             Event::Exchange { exchange, name, readiness, started_us, .. } => {
                 let (exchange, readiness) = (*exchange, *readiness);
                 let died_us = self.node_mut(exchange).last_died_us();
-                if let Some(news) =
+                if let Some(list_event) =
                     self.list.entry_listed(at_us, (exchange, name), readiness, *started_us, died_us)
                 {
-                    self.push_event(at_us, Some(softswitch), news.0, Some(exchange), news.1);
+                    self.push_event(at_us, Some(softswitch), list_event.0, Some(exchange), list_event.1);
                 }
                 self.node_mut(exchange).list_entry_changed(at_us, name, readiness, *started_us);
             }
@@ -340,9 +340,9 @@
             .collect();
         self.list.compare(now_us, &dead);
         let nodes = &self.nodes;
-        // If a node is dead, stalled, slow or cold, that is the reason why calls to it are refused.
+        // An incident of a node, or that it is cold, explains why calls to it are refused.
         self.refusals
-            .tick(now_us, |dest| nodes.get(&dest).is_some_and(|node| node.explains_refusals(now_us)));
+            .tick(now_us, |dest| nodes.get(&dest).is_some_and(|node| node.explains_refused_calls(now_us)));
         let crashed: Vec<(usize, u64)> = self
             .unclean_ends
             .iter()
@@ -392,7 +392,7 @@
         }
         incidents.extend(self.list.finish());
         incidents.extend(self.refusals.finish());
-        // A softswitch that started again after its crash had been reported.
+        // The crash of a softswitch that started again only after the crash had been reported ends at that start.
         for incident in
             incidents.iter_mut().filter(|i| i.kind == IncidentKind::SoftswitchCrashed && i.end_us.is_none())
         {
--- a/crates/report/src/incident/refusals.rs
+++ b/crates/report/src/incident/refusals.rs
@@ -1,5 +1,5 @@
-//! Detects when circuits toward a node run out, and when softswitches shed calls to it for a reason other than an
-//! incident of the node itself.
+//! Detects when circuits toward a node run out and when softswitches shed calls to it. Neither incident begins while
+//! the node's own state explains the refused calls: an incident of the node, or that it is cold.
 //!
 //! Each destination has a window of recent call outcomes. For each of the two kinds of incident a state machine with
 //! hysteresis watches the fraction of refused calls: it has a threshold to begin, a lower one to end, and a time for
@@ -13,7 +13,7 @@
 
 /// Window of the recent outcomes.
 const OUTCOME_WINDOW_US: u64 = 5_000_000;
-/// Minimum number of outcomes in the window; fewer prove nothing.
+/// Minimum number of outcomes in the window; with fewer, the fraction counts as 0.
 const MIN_OUTCOMES: usize = 8;
 /// Fraction of refused calls at which an incident begins.
 const BEGIN_FRACTION: f64 = 0.25;
@@ -21,7 +21,7 @@
 const END_FRACTION: f64 = 0.08;
 /// Time for which the fraction must stay beyond a threshold for an incident to begin or to end.
 const MIN_DURATION_US: u64 = 2_000_000;
-/// An incident that recurs this soon after its end is continued, not counted as a new one.
+/// An incident that recurs less than this after its end (flaps) is continued, not counted as a new one.
 const MAX_FLAP_GAP_US: u64 = 15_000_000;
 
 /// Outcome of a call to a node, as far as it shows load.
@@ -33,7 +33,7 @@
     NoCircuit,
     /// A softswitch shed it, or the processor of the node was full.
     Shed,
-    /// Any other outcome; it shows nothing about load.
+    /// Any other outcome; it counts only in the total.
     Other,
 }
 
@@ -65,7 +65,7 @@
 #[derive(Debug, Default)]
 struct IncidentState {
     current: Option<Incident>,
-    /// Since when the fraction has been at or above the threshold to begin.
+    /// Since when the fraction has been at or above the threshold to begin, without another explanation.
     above_begin_since_us: Option<u64>,
     /// Since when the fraction has been below the threshold to end.
     below_end_since_us: Option<u64>,
@@ -92,7 +92,7 @@
     }
 
     /// Updates the incidents of all destinations. `is_explained` tells for a node whether its own state explains
-    /// refusals.
+    /// refused calls.
     pub(super) fn tick(&mut self, now_us: u64, is_explained: impl Fn(u32) -> bool) {
         for (dest, destination) in &mut self.destinations {
             while destination.recent.front().is_some_and(|(at_us, _)| at_us + OUTCOME_WINDOW_US < now_us) {
@@ -139,7 +139,8 @@
     }
 }
 
-/// Adds an incident, or extends the last one of the same kind and node if that had only just ended.
+/// Adds an incident, or extends the last one of the same kind and node if that ended less than `MAX_FLAP_GAP_US`
+/// before.
 fn add_or_extend(past: &mut Vec<Incident>, incident: Incident) {
     let continues = |earlier: &&mut Incident| {
         let ended_recently = earlier.end_us.is_some_and(|end| incident.begin_us < end + MAX_FLAP_GAP_US);
@@ -155,7 +156,8 @@
 }
 
 impl IncidentState {
-    /// Updates the state with the fraction of the calls that are refused now. Returns an incident that has ended.
+    /// Updates the state with the fraction of the recent calls that were refused for the reason of this kind.
+    /// `begin_us` is the time of the first outcome in the window. Returns an incident that has ended.
     fn update(
         &mut self,
         now_us: u64,
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn set_ups_are_parsed_by_the_json_lines_reader() {
+fn generated_set_ups_are_valid_and_calls_of_one_path_have_one_called_number() {
     let load = RecordedLoad::parse(HAR).expect("a HAR file");
     let remaining = Duration::from_secs(9);
     let options = SetUpOptions { class: "unit-status".to_owned(), remaining, dest: None, exchanges: 3 };
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -435,7 +435,7 @@
 }
 
 #[test]
-fn a_caller_hangs_up_while_its_attempt_is_open_at_a_stalled_iax2_exchange() {
+fn a_hang_up_releases_the_open_attempt_at_a_stalled_iax2_exchange_whose_late_answer_is_ignored() {
     let (switch, mut iax2_exchange, mut exchange_2) = iax2_and_json_lines_exchanges();
     let mut iax2_caller = Iax2Endpoint::new(20);
     iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "1");
@@ -456,7 +456,7 @@
 }
 
 #[test]
-fn a_caller_hangs_up_while_its_attempt_is_open_at_a_stalled_json_lines_exchange() {
+fn a_hang_up_releases_the_open_attempt_at_a_stalled_json_lines_exchange_whose_late_answer_is_ignored() {
     let (switch, exchanges) = two_exchanges();
     let (mut exchange_1, mut exchange_2) = in_order(exchanges, 0);
     let mut iax2_caller = Iax2Endpoint::new(20);
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn recording_starts_with_the_start_the_classes_and_the_exchanges() {
+fn a_recording_begins_with_the_start_event_the_classes_and_the_exchanges() {
     let harness = recording_harness(3);
     let first = events(&harness);
     assert!(matches!(&first[0], Event::Started { home: Some(0), is_replacement: false, .. }), "{first:?}");
--- a/tests/resolver.rs
+++ b/tests/resolver.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn serials_wrap_around() {
+fn serials_are_compared_across_the_wrap_around() {
     assert!(
         dns::is_newer_serial(2, 1)
             && dns::is_newer_serial(0, u32::MAX)
