--- a/src/engine/messages.rs
+++ b/src/engine/messages.rs
@@ -21,7 +21,7 @@
         digits.iter().all(u8::is_ascii_hexdigit).then_some(Self(digits))
     }
 
-    /// Makes an id for a call that arrived without one.
+    /// Makes an id from a number, for a call that arrived without one and for a probe.
     pub fn from_u64(number: u64) -> Self {
         let mut digits = [0; 16];
         for (digit, shift) in digits.iter_mut().zip((0..16).rev()) {
@@ -75,7 +75,7 @@
     pub readiness: Readiness,
 }
 
-/// A call set-up received by a front.
+/// A call set-up received on a front.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SetUp {
     /// Name of its class.
@@ -209,7 +209,7 @@
         /// Cause (Q.850).
         cause: u8,
     },
-    /// The front checks whether this softswitch serves.
+    /// The platform checks whether this softswitch serves.
     HealthCheck {
         /// Connection that it arrived on.
         caller_conn: CallerConnId,
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -8,7 +8,8 @@
 //! - every call gets exactly one final outcome, at most `DECISION_GRACE` after its deadline;
 //! - a call has at most one open attempt;
 //! - after a time-out, reset or cancel a call is not sent again before the release pause is over;
-//! - no set-up is sent to an exchange that has been draining, or removed from the list, for the grace period.
+//! - no attempt is started at an exchange that has been draining, or removed from the list, for
+//!   `DRAIN_GRACE_FRACTION` of the grace period.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet, VecDeque};
@@ -51,7 +52,8 @@
 /// How long a release is kept while there is no caller connection to send it on; after that no caller waits for
 /// it.
 const RELEASE_EXPIRY: Duration = Duration::from_secs(10);
-/// An id that no caller connection has.
+/// An id that no caller connection has. It stands for a release without a connection of its own, and for a hang-up that
+/// the sibling process passed on, which must not be sent back to it.
 const NO_CALLER_CONN: CallerConnId = CallerConnId::MAX;
 /// How long a release whose own connection is closed waits for a connection that has carried calls. The caller may
 /// never read a connection on which it has sent nothing.
@@ -73,8 +75,8 @@
 const MAX_OPEN_DESCRIPTION_BYTES: usize = 4 << 20;
 /// How long after it was sent a release may be reported as unread.
 const UNREAD_REPORT_WINDOW: Duration = Duration::from_secs(1);
-/// Shortest time from the request to stop to the end of the process: set-ups arrive for 0.4 s on new connections,
-/// and for another 0.2 s on open ones.
+/// Shortest time from the request to stop to the end of the process: after the request, set-ups arrive for 0.4 s on new
+/// connections, and for another 0.2 s on open ones.
 const MIN_STOP_TIME: Duration = Duration::from_millis(700);
 /// Longest time for which established calls delay the end of the process after a request to stop. Most of them end
 /// by then; the rest are cut with the process, as they are if the platform ends it earlier.
@@ -84,21 +86,25 @@
 const ENDED_CALL_RETENTION: Duration = Duration::from_secs(30);
 /// Time after its start from which a process may be ready although connections to exchanges are still being opened.
 const MAX_CONNECT_WAIT: Duration = Duration::from_secs(1);
-/// Time after the start of a drain from which caller connections are closed. The front opens new ones until a health
-/// check has failed.
+/// Time after the start of an operator's drain from which caller connections are closed: the platform opens new ones
+/// until a health check has failed. A connection that has carried no message is left open for this long after it
+/// opened.
 const DRAIN_CLOSE_DELAY: Duration = Duration::from_millis(300);
 /// Interval between two checks for connections that can be closed.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time after the start of a drain until which one connection is kept open for the releases of established calls:
-/// releases are due within 1 s, and callers may not connect again for a long time. Then that connection is closed
-/// too, because 4 s after the start no connection may be idle, nor carry a set-up from the 2 s before.
+/// Time after the start of an operator's drain until which one connection is kept open for the releases of established
+/// calls: releases are due within 1 s, and it may be long before callers connect again. Then that connection is closed
+/// too: 4 s after the start there must be no idle connection, and none with a set-up that arrived in the last 2 s.
 const DRAIN_KEEP_TIME: Duration = Duration::from_millis(3_700);
-/// A connection that carried a message later than this after the start of a drain is closed with its open set-ups
-/// once `DRAIN_KEEP_TIME` is over.
+/// A connection with open set-ups that carried a message this long after the start of an operator's drain, or later, is
+/// closed once `DRAIN_KEEP_TIME` is over, and its set-ups fail. A set-up that arrives 2 s
+/// after the start or later must not be open 4 s after it; this limit is 0.1 s earlier.
 const DRAIN_LATE_MESSAGE_TIME: Duration = Duration::from_millis(1_900);
 /// Time after its start from which a process may be ready although the resolver has not confirmed the list of
 /// exchanges.
 const MAX_LIST_WAIT: Duration = Duration::from_secs(3);
+/// Set-ups to an exchange that is draining or was removed from the list stop at this fraction of the grace period.
+const DRAIN_GRACE_FRACTION: f64 = 0.9;
 /// How long the state of an exchange is kept after its removal from the list.
 const REMOVED_EXCHANGE_RETENTION: Duration = Duration::from_secs(30);
 
@@ -131,7 +137,7 @@
 enum Timer {
     /// A timer of the decision module, with its tag.
     Controller(u64),
-    /// An attempt of a call times out.
+    /// An attempt of a call times out; attempts count from 1 here.
     AttemptTimeout(CallId, u32),
     /// The decision module is late with the final answer of a call.
     DecisionOverdue(CallId),
@@ -145,15 +151,15 @@
     CheckSilence(ExchangeConnId),
     /// Check whether a caller connection is idle.
     CheckIdle(CallerConnId),
-    /// Send the releases that wait for a better caller connection.
-    PendingReleases,
+    /// Try again to send the releases that wait for a caller connection.
+    CallerReleases,
     /// Check whether the process can exit after a request to stop.
     CheckStopped,
-    /// Close caller connections that are no longer in use, for the drain that started at this time.
+    /// Close caller connections that are no longer in use, for the operator's drain that started at this time.
     DrainCallers(SystemTime),
     /// Check whether the process can begin to serve.
     CheckReady,
-    /// Close idle caller connections and exit once nothing is left, because a successor serves.
+    /// Close idle caller connections and exit once nothing is left, after a request to stop while a successor serves.
     StopForSuccessor,
     /// Record the expected delays of the exchanges.
     Sample,
@@ -182,6 +188,8 @@
     received_at: SystemTime,
     deadline: SystemTime,
     phase: Phase,
+    /// Number of attempts so far, thus the number of the last one in timers and records, which count from 1. The
+    /// decision module counts attempts from 0.
     attempt_count: u32,
     /// End of the release pause: until then the circuits of the last attempt may still be taken.
     paused_until: Option<SystemTime>,
@@ -206,9 +214,9 @@
     malformed_count: u32,
 }
 
-/// A release that waits for a caller connection.
+/// A release to be sent to a caller.
 #[derive(Clone)]
-struct PendingRelease {
+struct CallerRelease {
     queued_at: SystemTime,
     expires_at: SystemTime,
     front: Front,
@@ -226,7 +234,7 @@
     home: Option<Number>,
     attempt_limit: u32,
     release_pause: Duration,
-    drain_grace: Duration,
+    exchange_drain_grace: Duration,
     calls: HashMap<CallId, Call>,
     call_ids: HashMap<CallUid, CallId>,
     last_call: CallId,
@@ -244,11 +252,12 @@
     /// Size of their descriptions, in bytes.
     open_description_bytes: usize,
     max_retry_after: Duration,
-    pending_releases: VecDeque<PendingRelease>,
-    /// Whether a timer for `pending_releases` is set.
+    /// Releases that wait for a caller connection.
+    caller_releases: VecDeque<CallerRelease>,
+    /// Whether a timer for `caller_releases` is set.
     release_timer_set: bool,
     /// Releases sent a short time ago, with time and connection: their caller may not have read them.
-    sent_releases: VecDeque<(SystemTime, CallerConnId, PendingRelease)>,
+    sent_releases: VecDeque<(SystemTime, CallerConnId, CallerRelease)>,
     /// Calls that ended a short time ago, oldest first.
     ended_calls: VecDeque<(SystemTime, CallUid)>,
     /// The ids in `ended_calls`.
@@ -260,8 +269,8 @@
     controller_events: VecDeque<Event>,
     /// When the request to stop arrived.
     stopping_since: Option<SystemTime>,
-    /// When an operator started the drain that is in progress.
-    draining_since: Option<SystemTime>,
+    /// When the operator's drain that is in progress began.
+    operator_drain_since: Option<SystemTime>,
     /// Role of the sibling process, while there is one.
     sibling: Option<Role>,
     /// Whether it accepts caller connections; a successor does so once it is ready.
@@ -292,7 +301,7 @@
             home: None,
             attempt_limit: 0,
             release_pause: Duration::ZERO,
-            drain_grace: Duration::ZERO,
+            exchange_drain_grace: Duration::ZERO,
             calls: HashMap::new(),
             call_ids: HashMap::new(),
             last_call: 0,
@@ -307,19 +316,19 @@
             open_setups: 0,
             open_description_bytes: 0,
             max_retry_after: Duration::ZERO,
-            pending_releases: VecDeque::new(),
+            caller_releases: VecDeque::new(),
             release_timer_set: false,
             sent_releases: VecDeque::new(),
             ended_calls: VecDeque::new(),
             ended_call_uids: HashSet::new(),
-            // Probe ids start at a value made from the seed, which differs between the processes of a replacement,
-            // so that the two never use the same id.
+            // Probe ids count up from a value made from the seed. The seed differs between the processes of a
+            // replacement, so they are very unlikely to use the same id.
             last_probe: !config.seed,
             timers: BinaryHeap::new(),
             timer_count: 0,
             controller_events: VecDeque::new(),
             stopping_since: None,
-            draining_since: None,
+            operator_drain_since: None,
             sibling: None,
             accepting_callers: true,
             stopping_for_successor: false,
@@ -356,7 +365,7 @@
             + self.ended_call_uids.len();
         let conns_and_releases = self.exchange_conns.len()
             + self.caller_conns.len()
-            + self.pending_releases.len()
+            + self.caller_releases.len()
             + self.sent_releases.len();
         self.calls.len()
             + exchanges
@@ -394,9 +403,9 @@
             Input::CallerMessagesUnread { caller_conn } => {
                 // A release that was sent while the caller closed the connection would otherwise be lost.
                 let unread = self.sent_releases.iter().filter(|(_, conn, _)| *conn == caller_conn);
-                self.pending_releases.extend(unread.map(|(_, _, release)| release.clone()));
+                self.caller_releases.extend(unread.map(|(_, _, release)| release.clone()));
                 self.sent_releases.retain(|(_, conn, _)| *conn != caller_conn);
-                self.send_pending_releases(effects);
+                self.send_caller_releases(effects);
             }
             Input::SetUp { caller_conn, call, setup } => {
                 self.caller_message_received(caller_conn, effects);
@@ -404,20 +413,20 @@
             }
             Input::MalformedSetUp { caller_conn, call } => {
                 self.caller_message_received(caller_conn, effects);
-                self.reject_malformed(caller_conn, call, effects);
+                self.fail_malformed(caller_conn, call, effects);
             }
             Input::HangUp { caller_conn, call, cause } => {
                 self.caller_message_received(caller_conn, effects);
                 self.hang_up(caller_conn, call, cause, effects);
             }
             Input::HealthCheck { caller_conn, call } => {
-                // Releases must not be sent on connections that the front uses for health checks only: it would
-                // not read them.
+                // Releases must not be sent on connections that the platform uses for health checks only: it
+                // would not read them.
                 if let Some(conn) = self.caller_conns.get_mut(&caller_conn) {
                     conn.health_checks_only = !conn.sent_call_message;
                     conn.last_received = self.now;
                 }
-                let passed = self.stopping_since.is_none() && self.draining_since.is_none();
+                let passed = self.stopping_since.is_none() && self.operator_drain_since.is_none();
                 effects.push(Effect::ToCaller {
                     caller_conn,
                     call,
@@ -490,21 +499,21 @@
             }
             OperatorRequest::Fleet => OperatorReply::Fleet(self.fleet().to_json()),
             OperatorRequest::BeginDrain => {
-                if self.draining_since.is_none() {
+                if self.operator_drain_since.is_none() {
                     self.record_drain(true, DrainSource::Operator);
-                    self.draining_since = Some(self.now);
+                    self.operator_drain_since = Some(self.now);
                     self.set_timer(DRAIN_CLOSE_DELAY, Timer::DrainCallers(self.now));
                 }
                 OperatorReply::Done
             }
             OperatorRequest::EndDrain => {
-                if self.draining_since.take().is_some() {
+                if self.operator_drain_since.take().is_some() {
                     self.record_drain(false, DrainSource::Operator);
                 }
                 // Callers connect again soon. Restarting the wait keeps pending releases from being sent on a
                 // connection that happens to be open now and may not be read.
                 let now = self.now;
-                self.pending_releases.iter_mut().for_each(|release| {
+                self.caller_releases.iter_mut().for_each(|release| {
                     (release.queued_at, release.expires_at) = (now, now + RELEASE_EXPIRY)
                 });
                 OperatorReply::Done
@@ -547,7 +556,7 @@
         self.home = settings.home;
         self.attempt_limit = settings.attempt_limit;
         self.release_pause = duration_from_ms(settings.release_pause_ms);
-        self.drain_grace = duration_from_ms(settings.drain_grace_ms);
+        self.exchange_drain_grace = duration_from_ms(settings.drain_grace_ms);
         self.max_retry_after = duration_from_ms(settings.max_retry_after_ms);
         self.max_descriptors = config.max_sockets;
         let index = |field| settings.report_fields.iter().position(|known| *known == field);
@@ -573,7 +582,7 @@
                         "no final decision on call {:?} after its deadline; ending it as failed",
                         call.uid
                     )));
-                    self.withdraw_attempt(id, effects);
+                    self.cancel_at_exchange(id, effects);
                     self.end_call_with_reason(
                         id,
                         CallerMessage::Failed { busy: false },
@@ -590,9 +599,9 @@
             }
             Timer::CheckSilence(exchange_conn) => self.check_silence(exchange_conn, effects),
             Timer::CheckIdle(caller_conn) => self.close_if_idle(caller_conn, effects),
-            Timer::PendingReleases => {
+            Timer::CallerReleases => {
                 self.release_timer_set = false;
-                self.send_pending_releases(effects);
+                self.send_caller_releases(effects);
             }
             Timer::CheckStopped => self.exit_if_done(effects),
             Timer::DrainCallers(drain_start) => self.drain_caller_conns(drain_start, effects),
@@ -603,10 +612,11 @@
         }
     }
 
-    /// Closes the caller connections without an open set-up during a drain; once `DRAIN_KEEP_TIME` is over, also those
-    /// that were used recently.
+    /// Closes the caller connections without an open set-up during an operator's drain. Once `DRAIN_KEEP_TIME` is
+    /// over, also closes those with open set-ups that carried a message `DRAIN_LATE_MESSAGE_TIME` or more after the
+    /// start of the drain, and fails their set-ups.
     fn drain_caller_conns(&mut self, drain_start: SystemTime, effects: &mut Vec<Effect>) {
-        if self.draining_since != Some(drain_start) {
+        if self.operator_drain_since != Some(drain_start) {
             return;
         }
         self.set_timer(DRAIN_CHECK_INTERVAL, Timer::DrainCallers(drain_start));
@@ -627,7 +637,7 @@
         }
     }
 
-    /// The connection that a drain closes last, because the releases of established calls are sent on it.
+    /// The connection that an operator's drain closes last, because the releases of established calls are sent on it.
     fn conn_kept_for_releases(&self) -> Option<CallerConnId> {
         let established =
             |call: &Call| call.front == Front::JsonLines && matches!(call.phase, Phase::Established { .. });
@@ -639,15 +649,16 @@
         candidates.max_by_key(|(id, conn)| (conn.served_call, std::cmp::Reverse(**id))).map(|(id, _)| *id)
     }
 
-    /// Closes a caller connection without an open set-up, if a drain or a successor requires it.
+    /// Closes a caller connection without an open set-up, if an operator's drain requires it, or a request to stop while
+    /// a successor serves.
     fn close_draining_conn(&self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
         let Some(conn) = self.caller_conns.get(&caller_conn).filter(|conn| conn.front == Front::JsonLines)
         else {
             return;
         };
         let closing = self.stopping_for_successor
-            || self.draining_since.is_some_and(|start| elapsed(start, self.now) >= DRAIN_CLOSE_DELAY);
-        // On a connection that has just opened, the first message is still to come.
+            || self.operator_drain_since.is_some_and(|start| elapsed(start, self.now) >= DRAIN_CLOSE_DELAY);
+        // On a connection that opened less than `DRAIN_CLOSE_DELAY` ago, the first message may still be to come.
         if closing
             && (conn.sent_call_message
                 || conn.health_checks_only
@@ -663,10 +674,10 @@
         open.map(|call| call.caller_conn).collect()
     }
 
-    /// Closes the connection of a set-up that just got its final answer, if a drain or a successor requires it and no
-    /// other set-up is open on it.
+    /// Closes the connection of a set-up that just got its final answer, if no other set-up is open on it and an
+    /// operator's drain requires it, or a request to stop while a successor serves.
     fn close_conn_after_answer(&self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
-        let kept = match self.draining_since {
+        let kept = match self.operator_drain_since {
             Some(start) => {
                 elapsed(start, self.now) < DRAIN_KEEP_TIME
                     && self.conn_kept_for_releases() == Some(caller_conn)
@@ -679,12 +690,14 @@
         }
     }
 
-    /// Ends the process if it was asked to stop and no call, release or caller connection delays that any more.
+    /// Ends the process if it was asked to stop and is done. While a successor serves: once no call, no queued release
+    /// and no JSON-lines caller connection is left. Otherwise: once `MIN_STOP_TIME` is over and no call is left; after
+    /// `MAX_STOP_TIME`, only calls that are not established delay the exit.
     fn exit_if_done(&mut self, effects: &mut Vec<Effect>) {
         let has_callers = || self.caller_conns.values().any(|conn| conn.front == Front::JsonLines);
         if self.stopping_for_successor
             && self.calls.is_empty()
-            && self.pending_releases.is_empty()
+            && self.caller_releases.is_empty()
             && !has_callers()
         {
             self.exit(effects);
@@ -733,7 +746,7 @@
             }
             Action::Cancel { call, attempt } => {
                 if self.calls.get(&call).is_some_and(|call| call.attempt_count == attempt + 1) {
-                    self.cancel_attempt(call, effects);
+                    self.cancel_and_report(call, effects);
                 }
             }
             Action::SetTimer { delay_ms, tag } => {
@@ -756,7 +769,8 @@
 
     // ---- calls ----
 
-    /// Handles a set-up: offers the call to the decision module, or rejects it if it is invalid or beyond the limits.
+    /// Handles a set-up: offers the call to the decision module, fails it if it is invalid, or refuses it if it is
+    /// beyond the limits or arrives on the IAX2 front during a drain. An id in use closes a JSON-lines connection.
     fn handle_setup(
         &mut self,
         caller_conn: CallerConnId,
@@ -779,12 +793,13 @@
                 && setup.width.is_none_or(|w| w == *width)
         };
         let Some(class) = class.filter(is_valid) else {
-            return self.reject_malformed(caller_conn, uid, effects);
+            return self.fail_malformed(caller_conn, uid, effects);
         };
         let bytes = setup.description.as_ref().map_or(0, |text| text.len());
-        // During a drain, IAX2 set-ups are refused one by one: endpoints send them directly, without a platform in
-        // between that stops sending after a failed health check.
-        let draining = (self.draining_since.is_some() || self.stopping_for_successor) && front == Front::Iax2;
+        // During an operator's drain, and while a successor serves after a request to stop, IAX2 set-ups are refused
+        // one by one: endpoints send them directly, without a platform that stops sending after a failed health check.
+        let draining =
+            (self.operator_drain_since.is_some() || self.stopping_for_successor) && front == Front::Iax2;
         if draining
             || self.open_setups >= MAX_OPEN_SETUPS
             || self.open_description_bytes + bytes > MAX_OPEN_DESCRIPTION_BYTES
@@ -876,7 +891,7 @@
             _ => {}
         }
         if released {
-            self.send_release(call.caller_conn, self.pending_release(call.front, call.uid, message), effects);
+            self.send_release(call.caller_conn, self.caller_release(call.front, call.uid, message), effects);
         } else if self.caller_conns.contains_key(&call.caller_conn) {
             effects.push(Effect::ToCaller { caller_conn: call.caller_conn, call: call.uid, message });
             self.close_conn_after_answer(call.caller_conn, effects);
@@ -884,19 +899,20 @@
         self.exit_if_done(effects);
     }
 
-    /// Removes a call and cancels its open attempt, if it has one.
+    /// Removes a call, cancels its open attempt, if it has one, and tells the decision module that the call is gone.
     fn remove_call(&mut self, id: CallId, effects: &mut Vec<Effect>) -> Option<Call> {
-        self.withdraw_attempt(id, effects);
+        self.cancel_at_exchange(id, effects);
         let call = self.calls.remove(&id)?;
         if !matches!(call.phase, Phase::Established { .. }) {
-            self.setup_closed(call.description.as_ref());
+            self.uncount_open_setup(call.description.as_ref());
         }
         self.call_ids.remove(&call.uid);
         if self.ended_call_uids.insert(call.uid) {
             self.ended_calls.push_back((self.now, call.uid));
         }
-        // The decision module still knows the call if it was late with its decision or the caller connection was
-        // lost. It ignores the event for a call that it has ended itself.
+        // Sent for every removed call, not only for abandoned ones: the decision module still knows the call if it was
+        // late with its decision or the caller connection was lost. It ignores the event for a call that it has ended
+        // itself.
         self.controller_events.push_back(Event::Abandoned { call: id });
         Some(call)
     }
@@ -914,28 +930,30 @@
     }
 
     /// Stops counting a set-up towards the limits of set-ups without an answer.
-    fn setup_closed(&mut self, description: Option<&Arc<str>>) {
+    fn uncount_open_setup(&mut self, description: Option<&Arc<str>>) {
         self.open_setups = self.open_setups.saturating_sub(1);
         self.open_description_bytes =
             self.open_description_bytes.saturating_sub(description.map_or(0, |text| text.len()));
     }
 
-    fn pending_release(&self, front: Front, call: CallUid, message: CallerMessage) -> PendingRelease {
-        PendingRelease { queued_at: self.now, expires_at: self.now + RELEASE_EXPIRY, front, call, message }
+    fn caller_release(&self, front: Front, call: CallUid, message: CallerMessage) -> CallerRelease {
+        CallerRelease { queued_at: self.now, expires_at: self.now + RELEASE_EXPIRY, front, call, message }
     }
 
-    /// Sends a release to a caller: on the connection that the set-up arrived on; otherwise on one on which calls were
-    /// served or at least arrived; otherwise, after `PREFERRED_CONN_WAIT`, on any connection of the front. While there
-    /// is none, the release is queued.
-    fn send_release(&mut self, own_conn: CallerConnId, release: PendingRelease, effects: &mut Vec<Effect>) {
+    /// Sends a release to a caller: on the connection that the set-up arrived on; otherwise on one of the same front on
+    /// which calls were served or at least arrived. If there is none, any connection will do for IAX2; for JSON lines,
+    /// outside an operator's drain and once the release has waited for `PREFERRED_CONN_WAIT`, one that has been silent
+    /// for that long and has not been used for health checks only. Without any of these, the release of a JSON-lines
+    /// call goes to the successor, if one serves; every other release is queued.
+    fn send_release(&mut self, own_conn: CallerConnId, release: CallerRelease, effects: &mut Vec<Effect>) {
         let waited = elapsed(release.queued_at, self.now) >= PREFERRED_CONN_WAIT;
         let of_front = self
             .caller_conns
             .iter()
             .filter(|(_, conn)| conn.front == release.front && !conn.health_checks_only);
-        // A connection that opens during a drain and carries no call does not belong to the caller of an established
-        // call.
-        let waited = waited && self.draining_since.is_none();
+        // A connection that opens during an operator's drain and carries no call does not belong to the caller of an
+        // established call.
+        let waited = waited && self.operator_drain_since.is_none();
         let silent =
             |conn: &CallerConn| waited && elapsed(conn.last_received, self.now) >= PREFERRED_CONN_WAIT;
         let usable =
@@ -949,16 +967,17 @@
         };
         let Some(caller_conn) = caller_conn else {
             let now = self.now;
-            // During a drain there may be no caller connection for a long time, so nothing expires.
-            self.pending_releases.retain(|pending| pending.expires_at > now || self.draining_since.is_some());
+            // During an operator's drain there may be no caller connection for a long time, so nothing expires.
+            self.caller_releases
+                .retain(|pending| pending.expires_at > now || self.operator_drain_since.is_some());
             if self.successor_serves() && release.front == Front::JsonLines {
                 let cut = release.message == CallerMessage::Released { cut: true };
                 return effects.push(Effect::ToSibling(SiblingMessage::Release { call: release.call, cut }));
             }
             if !std::mem::replace(&mut self.release_timer_set, true) {
-                self.set_timer(PREFERRED_CONN_WAIT, Timer::PendingReleases);
+                self.set_timer(PREFERRED_CONN_WAIT, Timer::CallerReleases);
             }
-            self.pending_releases.push_back(release);
+            self.caller_releases.push_back(release);
             return;
         };
         effects.push(Effect::ToCaller { caller_conn, call: release.call, message: release.message.clone() });
@@ -967,10 +986,10 @@
         self.sent_releases.push_back((now, caller_conn, release));
     }
 
-    /// Tries to send the queued releases; those that have expired are dropped, except during a drain.
-    fn send_pending_releases(&mut self, effects: &mut Vec<Effect>) {
-        for release in std::mem::take(&mut self.pending_releases) {
-            if release.expires_at > self.now || self.draining_since.is_some() {
+    /// Tries to send the queued releases; those that have expired are dropped, except during an operator's drain.
+    fn send_caller_releases(&mut self, effects: &mut Vec<Effect>) {
+        for release in std::mem::take(&mut self.caller_releases) {
+            if release.expires_at > self.now || self.operator_drain_since.is_some() {
                 self.send_release(NO_CALLER_CONN, release, effects);
             }
         }
@@ -1009,7 +1028,7 @@
             malformed_count: 0,
         };
         self.caller_conns.insert(caller_conn, new);
-        self.send_pending_releases(effects);
+        self.send_caller_releases(effects);
     }
 
     /// Closes one caller connection to make room for another. Never one with an open set-up; first those that have
@@ -1049,8 +1068,8 @@
         let now = self.now;
         let Some(conn) = self.caller_conns.get_mut(&caller_conn) else { return };
         (conn.last_received, conn.health_checks_only) = (now, false);
-        if !std::mem::replace(&mut conn.sent_call_message, true) && !self.pending_releases.is_empty() {
-            self.send_pending_releases(effects);
+        if !std::mem::replace(&mut conn.sent_call_message, true) && !self.caller_releases.is_empty() {
+            self.send_caller_releases(effects);
         }
     }
 
@@ -1069,9 +1088,9 @@
         }
     }
 
-    /// Fails a malformed set-up. Callers of the platform never send one, so a connection that carries several is
-    /// closed before the replies to it take up the processor.
-    fn reject_malformed(&mut self, caller_conn: CallerConnId, uid: CallUid, effects: &mut Vec<Effect>) {
+    /// Fails a malformed set-up. The platform never sends one, so a connection that carries several is closed before
+    /// the replies to it take up the processor.
+    fn fail_malformed(&mut self, caller_conn: CallerConnId, uid: CallUid, effects: &mut Vec<Effect>) {
         if self.call_ids.contains_key(&uid) {
             return self.abort_caller_conn(caller_conn, effects);
         }
@@ -1089,6 +1108,9 @@
 
     /// Fails the set-ups that are open on a caller connection and closes it. Established calls, and calls that arrived
     /// on other connections, are not affected.
+    ///
+    /// Every one of these set-ups is recorded with `CallerStreamCorrupt`, also if the connection is closed for a call
+    /// id that is in use, too many malformed messages or the end of `DRAIN_KEEP_TIME`.
     fn abort_caller_conn(&mut self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
         if self.caller_conns.get(&caller_conn).is_none_or(|conn| conn.front != Front::JsonLines) {
             return;
@@ -1097,7 +1119,7 @@
             |call: &Call| call.caller_conn == caller_conn && !matches!(call.phase, Phase::Established { .. });
         for id in self.calls_where(open) {
             if let Some(Phase::Attempting { exchange, .. }) = self.calls.get(&id).map(|call| call.phase) {
-                self.withdraw_attempt(id, effects);
+                self.cancel_at_exchange(id, effects);
                 self.report_outcome(id, exchange, Outcome::Cancelled, Reason::Unspecified, true);
             }
             self.end_call_with_reason(
@@ -1129,6 +1151,7 @@
             Phase::Established { exchange } => {
                 self.release_at_exchange(id, exchange, cause, effects);
                 self.record_released(uid, Some(exchange), ReleasedBy::Caller, false);
+                // A release by the caller is reported as `Cancelled`, whether the call was established or not.
                 self.report_outcome(id, exchange, Outcome::Cancelled, Reason::Unspecified, true);
                 self.remove_call(id, effects);
                 self.exit_if_done(effects);
@@ -1141,7 +1164,7 @@
     fn abandon_call(&mut self, id: CallId, effects: &mut Vec<Effect>) {
         self.record_abandoned(id);
         if let Some(Phase::Attempting { exchange, .. }) = self.calls.get(&id).map(|call| call.phase) {
-            self.withdraw_attempt(id, effects);
+            self.cancel_at_exchange(id, effects);
             self.report_outcome(id, exchange, Outcome::Cancelled, Reason::Unspecified, true);
         }
         self.remove_call(id, effects);
@@ -1153,11 +1176,11 @@
     /// Starts an attempt if the rules allow it; otherwise the decision module is told that it was not sent.
     fn start_attempt(&mut self, id: CallId, to: ExchangeId, timeout: Duration, effects: &mut Vec<Effect>) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let has_open_attempt = !matches!(call.phase, Phase::Waiting);
-        if has_open_attempt {
-            // What the decision module knows of the first attempt stays valid.
+        let attempting_or_established = !matches!(call.phase, Phase::Waiting);
+        if attempting_or_established {
+            // Nothing is reported to the decision module: it would take that as the end of the first attempt.
             effects.push(Effect::Log(format!(
-                "call {:?} already has an open attempt; the second one is not sent",
+                "call {:?} has an open attempt or is established; another attempt is not sent",
                 call.uid
             )));
             return;
@@ -1166,7 +1189,10 @@
         let paused = call.paused_until.is_some_and(|until| self.now < until);
         let unavailable = self.exchanges.get(&to).is_none_or(|exchange| match exchange.readiness {
             Readiness::Ready => false,
-            _ => elapsed(exchange.readiness_changed_at, self.now) >= self.drain_grace.mul_f64(0.9),
+            _ => {
+                elapsed(exchange.readiness_changed_at, self.now)
+                    >= self.exchange_drain_grace.mul_f64(DRAIN_GRACE_FRACTION)
+            }
         });
         let own = self.exchanges.get(&to).is_some_and(|exchange| Some(exchange.number) == self.home);
         if paused
@@ -1177,8 +1203,9 @@
         {
             let uid = call.uid;
             effects.push(Effect::Log(format!(
-                "attempt of call {uid:?} not sent (release pause: {paused}, exchange draining or removed: \
-                 {unavailable}, own exchange: {own}); the decision module decides again"
+                "attempt of call {uid:?} not sent (release pause: {paused}, exchange unknown, or draining or removed \
+                 for too long: {unavailable}, own exchange: {own}; if none of these, the attempt limit is reached or \
+                 the deadline has passed); the decision module decides again"
             )));
             self.record_attempt_end(id, to, (Outcome::NotSent, Reason::Unspecified), Duration::ZERO);
             self.report_outcome(id, to, Outcome::NotSent, Reason::Unspecified, false);
@@ -1227,8 +1254,8 @@
         effects.push(Effect::ToExchange { exchange_conn, call: call.uid, message });
     }
 
-    /// Cancels the open attempt of a call at the exchange, without telling the decision module.
-    fn withdraw_attempt(&mut self, id: CallId, effects: &mut Vec<Effect>) {
+    /// Cancels the open attempt of a call at the exchange, without reporting its end to the decision module.
+    fn cancel_at_exchange(&mut self, id: CallId, effects: &mut Vec<Effect>) {
         let Some(call) = self.calls.get(&id) else { return };
         // A closed connection needs no cancel: its loss has ended the set-up.
         if let Phase::Attempting { conn: Some(exchange_conn), .. } = call.phase
@@ -1247,41 +1274,43 @@
         }
     }
 
-    fn cancel_attempt(&mut self, id: CallId, effects: &mut Vec<Effect>) {
+    /// Cancels the open attempt of a call at the exchange, and reports its end to the decision module.
+    fn cancel_and_report(&mut self, id: CallId, effects: &mut Vec<Effect>) {
         if let Some(Phase::Attempting { exchange, sent_at, .. }) = self.calls.get(&id).map(|call| call.phase)
         {
-            self.withdraw_attempt(id, effects);
-            self.close_attempt(id, exchange, sent_at, Outcome::Cancelled, Reason::Unspecified);
+            self.cancel_at_exchange(id, effects);
+            self.report_attempt_end(id, exchange, sent_at, Outcome::Cancelled, Reason::Unspecified);
         }
     }
 
     fn attempt_timed_out(&mut self, id: CallId, attempt: u32, effects: &mut Vec<Effect>) {
         let Some(call) = self.calls.get(&id).filter(|call| call.attempt_count == attempt) else { return };
         let Phase::Attempting { exchange, sent_at, conn } = call.phase else { return };
-        self.withdraw_attempt(id, effects);
+        self.cancel_at_exchange(id, effects);
         // Without a connection the set-up was never sent, so it cannot have taken effect.
         let outcome = if conn.is_some() { Outcome::TimedOut } else { Outcome::NoConnection };
-        self.close_attempt(id, exchange, sent_at, outcome, Reason::Unspecified);
+        self.report_attempt_end(id, exchange, sent_at, outcome, Reason::Unspecified);
     }
 
-    /// Marks a call as without an open attempt; no cancel is sent.
-    fn clear_attempt(&mut self, id: CallId) {
+    /// Marks a call as without an open attempt; no cancel is sent, and nothing is reported.
+    fn forget_attempt(&mut self, id: CallId) {
         if let Some(call) = self.calls.get_mut(&id) {
             call.phase = Phase::Waiting;
         }
     }
 
-    /// Ends the open attempt of a call, which did not establish it.
+    /// Ends the open attempt of a call, if it has one, without establishing it; no cancel is sent.
     fn end_attempt(&mut self, id: CallId, outcome: Outcome, reason: Reason) {
         let Some(Phase::Attempting { exchange, sent_at, .. }) = self.calls.get(&id).map(|call| call.phase)
         else {
             return;
         };
-        self.close_attempt(id, exchange, sent_at, outcome, reason);
+        self.report_attempt_end(id, exchange, sent_at, outcome, reason);
     }
 
-    /// Ends an attempt that did not establish its call, and reports it to the decision module.
-    fn close_attempt(
+    /// Ends an attempt that did not establish its call: starts the release pause if one is due, records the end and
+    /// reports it to the decision module.
+    fn report_attempt_end(
         &mut self,
         id: CallId,
         exchange: ExchangeId,
@@ -1311,7 +1340,9 @@
         });
     }
 
-    /// Reports an outcome to the decision module that is not the end of an open attempt.
+    /// Reports an outcome to the decision module without a duration (0 ms): the attempt was not sent, the call was
+    /// abandoned, its caller connection was closed, its answer was lost, or it was established and has ended. For
+    /// abandoned calls and closed caller connections the duration is 0 ms although the attempt was open for a time.
     fn report_outcome(
         &mut self,
         id: CallId,
@@ -1367,7 +1398,7 @@
         let setup_description = call.description.take();
         let (attempt, elapsed_ms) = (call.attempt_count - 1, duration_to_ms(elapsed(sent_at, self.now)));
         let (caller_conn, call) = (call.caller_conn, call.uid);
-        self.setup_closed(setup_description.as_ref());
+        self.uncount_open_setup(setup_description.as_ref());
         if let Some(conn) = self.caller_conns.get_mut(&caller_conn) {
             conn.served_call = true;
         }
@@ -1415,7 +1446,7 @@
                     elapsed(sent_at, self.now),
                 );
                 self.report_outcome(id, exchange, Outcome::Reset, Reason::Unspecified, true);
-                self.clear_attempt(id);
+                self.forget_attempt(id);
                 self.end_call(id, CallerMessage::Failed { busy: false }, effects);
             }
             _ => self.end_attempt(id, outcome, reason),
@@ -1423,7 +1454,7 @@
     }
 
     /// Releases a call that ended at an exchange and is unknown here: it was established before this process started,
-    /// and its caller, whom the front knows, must be told.
+    /// and its caller, whom the platform knows, must be told.
     fn release_unknown_call(&mut self, call: CallUid, outcome: Outcome, effects: &mut Vec<Effect>) {
         if !matches!(outcome, Outcome::Completed | Outcome::Reset) {
             return;
@@ -1432,7 +1463,7 @@
         self.ended_calls.push_back((self.now, call));
         self.record_released(call, None, ReleasedBy::Exchange, outcome == Outcome::Reset);
         let message = CallerMessage::Released { cut: outcome == Outcome::Reset };
-        self.send_release(NO_CALLER_CONN, self.pending_release(Front::JsonLines, call, message), effects);
+        self.send_release(NO_CALLER_CONN, self.caller_release(Front::JsonLines, call, message), effects);
     }
 
     /// Ends an established call that is over at its exchange, and releases its caller.
--- a/src/engine/sibling.rs
+++ b/src/engine/sibling.rs
@@ -109,7 +109,7 @@
                 let message = CallerMessage::Released { cut };
                 self.send_release(
                     NO_CALLER_CONN,
-                    self.pending_release(Front::JsonLines, call, message),
+                    self.caller_release(Front::JsonLines, call, message),
                     effects,
                 );
             }
--- a/src/engine/status.rs
+++ b/src/engine/status.rs
@@ -65,7 +65,7 @@
             home: self.home,
             at_us: elapsed(UNIX_EPOCH, self.now).as_micros() as u64,
             uptime: elapsed(self.started_at, self.now),
-            draining: self.draining_since.is_some()
+            draining: self.operator_drain_since.is_some()
                 || self.stopping_since.is_some()
                 || self.stopping_for_successor,
             calls: (self.calls.len() - established, established),
--- a/src/main.rs
+++ b/src/main.rs
@@ -196,7 +196,7 @@
 }
 
 fn serve(path: &str, iax2: Option<Iax2Config>, edge: EdgeSettings) -> Result<(), Box<dyn Error>> {
-    // Registered first: until then either signal kills the process without a drain.
+    // Registered first: until then either signal kills the process without waiting for its calls.
     let mut signals = Signals::new([SIGTERM, SIGHUP])?;
     let mut config = Config::load(path)?;
     // The environment overrides the file, because several processes may be started with the same file.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -223,12 +223,12 @@
         self.iax2_front.as_ref().and_then(|(_, socket)| socket.as_ref()?.local_addr().ok())
     }
 
-    /// Sender of messages to the event loop, for example the request to drain.
+    /// Sender of messages to the event loop, for example the request to stop.
     pub fn loop_sender(&self) -> LoopSender {
         self.loop_sender.clone()
     }
 
-    /// Serves until a drain was requested and every accepted call has been answered.
+    /// Serves until a stop was requested and every accepted call has been answered.
     ///
     /// # Errors
     /// If a required socket, thread or recorder fails, or the settings are rejected.
--- a/tests/common/engine_harness.rs
+++ b/tests/common/engine_harness.rs
@@ -49,7 +49,7 @@
     )
 }
 
-/// The same, parsed, with this many exchanges.
+/// The configuration of [`config_json`], parsed, with this many exchanges.
 pub fn config(exchanges: usize) -> Config {
     let addresses: Vec<String> = (0..exchanges).map(|i| format!("10.0.0.{}:5070", i + 1)).collect();
     Config::parse(&config_json("127.0.0.1:0", "127.0.0.1:53", &addresses)).expect("a configuration")
@@ -115,7 +115,7 @@
         harness
     }
 
-    /// The same without open connections to the exchanges.
+    /// An engine with one caller connection and no open connection to an exchange.
     pub fn unconnected(exchanges: usize) -> Self {
         let config = config(exchanges);
         let now = UNIX_EPOCH + Duration::from_secs(1_800_000_000);
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -35,12 +35,12 @@
 }
 
 #[test]
-fn the_health_check_fails_as_soon_as_a_drain_starts_and_passes_as_soon_as_it_stops() {
+fn the_health_check_fails_as_soon_as_a_drain_begins_and_passes_as_soon_as_it_ends() {
     let mut harness = EngineHarness::new(3);
     assert!(health_check_passes(&mut harness));
     request(&mut harness, OperatorRequest::BeginDrain);
     assert!(!health_check_passes(&mut harness));
-    // A second request to start has no further effect.
+    // A second request to begin has no further effect.
     request(&mut harness, OperatorRequest::BeginDrain);
     harness.advance(5_000);
     assert!(!health_check_passes(&mut harness));
@@ -67,7 +67,7 @@
     harness.place_call(1, 1, 3_000);
     harness.handle(Input::CallerConnected { caller_conn: 8, front: Front::JsonLines });
     harness.advance(290);
-    assert_eq!(closed(&harness), [0; 0], "the front may still open connections");
+    assert_eq!(closed(&harness), [0; 0], "callers may still open connections");
     harness.advance(20);
     assert_eq!(closed(&harness), [8], "one with an open set-up is kept");
     harness.effects.clear();
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_drain_answers_all_open_calls_before_the_exit() {
+fn a_request_to_stop_answers_all_open_calls_before_the_exit() {
     let (mut switch, exchanges) = two_exchanges();
     let (mut exchange_1, _exchange_2) = in_order(exchanges, 0);
     let mut caller = JsonLinesConn::connect(switch.address);
@@ -104,7 +104,7 @@
         .loop_sender
         .send(swiftlb::net::LoopMessage::Input(swiftlb::engine::Input::Stop))
         .expect("running event loop");
-    // A call on a connection opened after the drain request is still served.
+    // A call on a connection opened after the request to stop is still served.
     let mut late = JsonLinesConn::connect(switch.address);
     late.send(&launch_line("00000000000000bb", 1, 3_000));
     late.expect("running", "00000000000000bb");
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn a_drain_retransmits_an_iax2_rejection_that_was_not_acknowledged() {
+fn after_a_request_to_stop_an_iax2_rejection_that_was_not_acknowledged_is_retransmitted() {
     let (mut switch, mut exchanges) = two_exchanges();
     let mut iax2_caller = Iax2Endpoint::new(20);
     iax2_caller.call(switch.iax2_address.expect("address of the IAX2 front"), "17");
--- a/tests/replacement.rs
+++ b/tests/replacement.rs
@@ -198,7 +198,7 @@
     old.advance(800);
     assert!(!old.effects.contains(&Effect::Exit), "a call is open");
     old.end_call(5, 1, Outcome::Busy, Reason::UserBusy);
-    assert!(old.effects.contains(&Effect::Exit), "without a successor the drain ends as usual");
+    assert!(old.effects.contains(&Effect::Exit), "without a successor the stop ends as usual");
 }
 
 #[test]
