--- a/src/engine/exchanges.rs
+++ b/src/engine/exchanges.rs
@@ -24,10 +24,10 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// A connection on which nothing was received for this long since a set-up was sent on it counts as dead, however
 /// slow the processor of the exchange is. A set-up takes a circuit, and the new state of the group arrived within
-/// 1 ms in all of 1,158 cases; it never arrived on a connection on which the set-up also stayed without an answer.
+/// 1 ms in all of 1,158 cases; it never arrived on a connection on which the set-up also stayed without a reply.
 pub(super) const SETUP_SILENCE_LIMIT: Duration = Duration::from_millis(150);
-/// The same limit for an exchange that has never reported the state of its group, where an answer may be the first
-/// message after a set-up.
+/// The same limit for an exchange that has never reported the state of its group, where the reply to a set-up may
+/// be the first message after it.
 const SETUP_SILENCE_LIMIT_WITHOUT_REPORTS: Duration = Duration::from_secs(2);
 /// The same limit, from the last message on, for a connection to an exchange with established calls, whose ends would
 /// be reported on it.
--- a/src/engine/messages.rs
+++ b/src/engine/messages.rs
@@ -303,7 +303,7 @@
     /// A new, validated configuration. Settings and the resolver's address change; calls, exchanges and everything
     /// known about them are kept.
     Reload(Box<Config>),
-    /// The process was asked to stop (SIGTERM). For a short time it still answers new calls and those already accepted.
+    /// The process was asked to stop (SIGTERM). For a short time it still serves new calls, and those already accepted.
     Stop,
 }
 
@@ -429,6 +429,6 @@
     Log(String),
     /// Record an event, where recording is on.
     Record(Record),
-    /// Everything accepted has been answered: end the process.
+    /// End the process: it was asked to stop, and nothing delays that any more.
     Exit,
 }
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -41,8 +41,8 @@
 use sibling::Role;
 use swiftlb_record::{DrainSource, Event as RecordEvent, FailureReason, RefusalReason, ReleasedBy};
 
-/// Time after a caller's deadline at which the engine fails the call if the decision module has given no final
-/// answer. Callers on sockets must have theirs within 50 ms of the deadline.
+/// Time after a caller's deadline at which the engine fails the call if the decision module has not decided on its
+/// final outcome. Callers on sockets must get it within 50 ms of the deadline.
 const DECISION_GRACE: Duration = Duration::from_millis(15);
 /// Pause before another connection to an unreachable exchange is opened. Short, because the state of its circuit
 /// group arrives only on an open connection.
@@ -69,9 +69,10 @@
 const NEW_CONN_GRACE: Duration = Duration::from_millis(200);
 /// Number of malformed messages at which a caller connection is closed.
 const MAX_MALFORMED_MESSAGES: u32 = 4;
-/// Maximum number of set-ups without an answer. Bounds the memory; any more would not be answered in time.
+/// Maximum number of open set-ups, those without a final outcome. Bounds the memory; any more would not get one in
+/// time.
 const MAX_OPEN_SETUPS: usize = 1_000;
-/// Maximum size of the descriptions of all set-ups without an answer, in bytes.
+/// Maximum size of the descriptions of all open set-ups, in bytes.
 const MAX_OPEN_DESCRIPTION_BYTES: usize = 4 << 20;
 /// How long after it was sent a release may be reported as unread.
 const UNREAD_REPORT_WINDOW: Duration = Duration::from_secs(1);
@@ -97,8 +98,8 @@
 /// too: 4 s after the start there must be no idle connection, and none with a set-up that arrived in the last 2 s.
 const DRAIN_KEEP_TIME: Duration = Duration::from_millis(3_700);
 /// A connection with open set-ups that carried a message this long after the start of an operator's drain, or later, is
-/// closed once `DRAIN_KEEP_TIME` is over, and its set-ups fail. A set-up that arrives 2 s
-/// after the start or later must not be open 4 s after it; this limit is 0.1 s earlier.
+/// closed once `DRAIN_KEEP_TIME` is over, and its set-ups fail. A set-up that arrives 2 s after the start or later must
+/// not be open 4 s after it; this limit is 0.1 s earlier.
 const DRAIN_LATE_MESSAGE_TIME: Duration = Duration::from_millis(1_900);
 /// Time after its start from which a process may be ready although the resolver has not confirmed the list of
 /// exchanges.
@@ -139,7 +140,7 @@
     Controller(u64),
     /// An attempt of a call times out; attempts count from 1 here.
     AttemptTimeout(CallId, u32),
-    /// The decision module is late with the final answer of a call.
+    /// The decision module is late with the final outcome of a call.
     DecisionOverdue(CallId),
     /// Open another connection to an unreachable exchange.
     Reconnect(ExchangeId),
@@ -161,7 +162,7 @@
     CheckReady,
     /// Close idle caller connections and exit once nothing is left, after a request to stop while a successor serves.
     StopForSuccessor,
-    /// Record the expected delays of the exchanges.
+    /// Record the expected delays of the exchanges, and changes of other values that are sampled.
     Sample,
 }
 
@@ -247,7 +248,7 @@
     max_caller_conns: usize,
     /// File descriptors that the softswitch may use.
     max_descriptors: usize,
-    /// Number of set-ups without an answer.
+    /// Number of open set-ups, those without a final outcome.
     open_setups: usize,
     /// Size of their descriptions, in bytes.
     open_description_bytes: usize,
@@ -574,7 +575,7 @@
             Timer::Controller(tag) => self.controller_events.push_back(Event::TimerExpired { tag }),
             Timer::AttemptTimeout(id, attempt) => self.attempt_timed_out(id, attempt, effects),
             Timer::DecisionOverdue(id) => {
-                // The call gets its final answer even if the decision module fails to give one.
+                // The call gets its final outcome even if the decision module fails to decide.
                 if let Some(call) = self.calls.get(&id)
                     && !matches!(call.phase, Phase::Established { .. })
                 {
@@ -649,8 +650,8 @@
         candidates.max_by_key(|(id, conn)| (conn.served_call, std::cmp::Reverse(**id))).map(|(id, _)| *id)
     }
 
-    /// Closes a caller connection without an open set-up, if an operator's drain requires it, or a request to stop while
-    /// a successor serves.
+    /// Closes a caller connection without an open set-up, if an operator's drain requires it, or a request to stop
+    /// while a successor serves.
     fn close_draining_conn(&self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
         let Some(conn) = self.caller_conns.get(&caller_conn).filter(|conn| conn.front == Front::JsonLines)
         else {
@@ -674,9 +675,9 @@
         open.map(|call| call.caller_conn).collect()
     }
 
-    /// Closes the connection of a set-up that just got its final answer, if no other set-up is open on it and an
+    /// Closes the connection of a set-up that just got its final outcome, if no other set-up is open on it and an
     /// operator's drain requires it, or a request to stop while a successor serves.
-    fn close_conn_after_answer(&self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
+    fn close_conn_after_outcome(&self, caller_conn: CallerConnId, effects: &mut Vec<Effect>) {
         let kept = match self.operator_drain_since {
             Some(start) => {
                 elapsed(start, self.now) < DRAIN_KEEP_TIME
@@ -762,7 +763,7 @@
                 }
             }
             Action::Log { text } => effects.push(Effect::Log(text)),
-            // There is no transport for messages between softswitches, and the resolver delivers the list unasked.
+            // Peer messages have no transport here, and the resolver delivers the list unasked.
             Action::SendPeerMessage { .. } | Action::Subscribe | Action::FetchList => {}
         }
     }
@@ -782,7 +783,7 @@
             return;
         };
         if self.call_ids.contains_key(&uid) {
-            // A reply with this id could be mistaken for the answer to the call that already has the id.
+            // A message with this id could be taken for the outcome of the call that already has the id.
             return self.abort_caller_conn(caller_conn, effects);
         }
         let class = self.classes.iter().position(|(class, ..)| *class == setup.class);
@@ -869,7 +870,7 @@
         reason: Option<FailureReason>,
         effects: &mut Vec<Effect>,
     ) {
-        // An established call has had its one final answer; only its release may follow.
+        // An established call has had its one final outcome; only its release may follow.
         let released = matches!(message, CallerMessage::Released { .. });
         let established = |call: &Call| matches!(call.phase, Phase::Established { .. });
         if !released && self.calls.get(&id).is_some_and(established) {
@@ -894,7 +895,7 @@
             self.send_release(call.caller_conn, self.caller_release(call.front, call.uid, message), effects);
         } else if self.caller_conns.contains_key(&call.caller_conn) {
             effects.push(Effect::ToCaller { caller_conn: call.caller_conn, call: call.uid, message });
-            self.close_conn_after_answer(call.caller_conn, effects);
+            self.close_conn_after_outcome(call.caller_conn, effects);
         }
         self.exit_if_done(effects);
     }
@@ -929,7 +930,7 @@
         self.sent_releases.retain(|(sent_at, ..)| elapsed(*sent_at, now) <= UNREAD_REPORT_WINDOW);
     }
 
-    /// Stops counting a set-up towards the limits of set-ups without an answer.
+    /// Stops counting a set-up towards the limits of open set-ups.
     fn uncount_open_setup(&mut self, description: Option<&Arc<str>>) {
         self.open_setups = self.open_setups.saturating_sub(1);
         self.open_description_bytes =
@@ -1407,7 +1408,7 @@
             call,
             message: CallerMessage::Answered { description },
         });
-        self.close_conn_after_answer(caller_conn, effects);
+        self.close_conn_after_outcome(caller_conn, effects);
         self.record_answer(id, exchange);
         self.controller_events.push_back(Event::Answered { call: id, attempt, exchange, elapsed_ms });
         self.exit_if_done(effects);
@@ -1436,7 +1437,7 @@
             Phase::Established { .. } => {
                 self.end_established(id, exchange, outcome, ReleasedBy::Exchange, effects)
             }
-            // A normal end without an answer: the call was established, its answer was lost, and it has ended. It
+            // A normal end before an answer: the call was established, its answer was lost, and it has ended. It
             // must not be set up again with an id that has ended for the exchange and for its caller.
             Phase::Attempting { sent_at, .. } if outcome == Outcome::Completed => {
                 self.record_attempt_end(
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -73,7 +73,7 @@
     harness.effects.clear();
     harness.end_call(1, 1, Outcome::Busy, Reason::UserBusy);
     assert_eq!(harness.caller_messages(1), [CallerMessage::Failed { busy: true }]);
-    assert_eq!(closed(&harness), [CALLER_CONN], "closed after the answer");
+    assert_eq!(closed(&harness), [CALLER_CONN], "closed after the outcome");
 }
 
 #[test]
@@ -88,7 +88,11 @@
     harness.advance(1_250);
     assert!(closed(&harness).contains(&CALLER_CONN));
     for call in [2, 3] {
-        assert_eq!(harness.caller_messages(call), [CallerMessage::Failed { busy: false }], "one answer each");
+        assert_eq!(
+            harness.caller_messages(call),
+            [CallerMessage::Failed { busy: false }],
+            "one outcome each"
+        );
     }
 }
 
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -429,13 +429,13 @@
         } else {
             Input::SetUp { caller_conn, call: call_uid(1), setup }
         });
-        // The other set-up that is open there gets its one answer, and the connection is closed.
+        // The other set-up that is open there gets its one outcome, and the connection is closed.
         assert_eq!(harness.caller_messages(caller_conn), [FAILED]);
         assert_eq!(harness.effects.last(), Some(&Effect::CloseCallerConn { caller_conn }));
     }
     harness.answer(1, 2);
     assert_eq!((harness.setup_count(1), harness.caller_messages(1).len()), (1, 1));
-    // Two set-ups with one id on one connection get one answer, whatever the exchange reports later.
+    // Two set-ups with one id on one connection get one outcome, whatever the exchange reports later.
     harness.place_call(2, 2, 1_500);
     harness.place_call(2, 2, 1_500);
     harness.answer(2, 2);
