--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -35,12 +35,12 @@
 }
 
 #[test]
-fn the_health_check_fails_as_soon_as_a_drain_starts_and_passes_as_soon_as_it_stops() {
+fn the_health_check_fails_as_soon_as_a_drain_begins_and_passes_as_soon_as_it_ends() {
     let mut harness = EngineHarness::new(3);
     assert!(health_check_passes(&mut harness));
     request(&mut harness, OperatorRequest::BeginDrain);
     assert!(!health_check_passes(&mut harness));
-    // A second request to start has no further effect.
+    // A second request to begin has no further effect.
     request(&mut harness, OperatorRequest::BeginDrain);
     harness.advance(5_000);
     assert!(!health_check_passes(&mut harness));
@@ -67,13 +67,13 @@
     harness.place_call(1, 1, 3_000);
     harness.handle(Input::CallerConnected { caller_conn: 8, front: Front::JsonLines });
     harness.advance(290);
-    assert_eq!(closed(&harness), [0; 0], "the front may still open connections");
+    assert_eq!(closed(&harness), [0; 0], "callers may still open connections");
     harness.advance(20);
     assert_eq!(closed(&harness), [8], "one with an open set-up is kept");
     harness.effects.clear();
     harness.end_call(1, 1, Outcome::Busy, Reason::UserBusy);
     assert_eq!(harness.caller_messages(1), [CallerMessage::Failed { busy: true }]);
-    assert_eq!(closed(&harness), [CALLER_CONN], "closed after the answer");
+    assert_eq!(closed(&harness), [CALLER_CONN], "closed after the outcome");
 }
 
 #[test]
@@ -88,7 +88,11 @@
     harness.advance(1_250);
     assert!(closed(&harness).contains(&CALLER_CONN));
     for call in [2, 3] {
-        assert_eq!(harness.caller_messages(call), [CallerMessage::Failed { busy: false }], "one answer each");
+        assert_eq!(
+            harness.caller_messages(call),
+            [CallerMessage::Failed { busy: false }],
+            "one outcome each"
+        );
     }
 }
 
