--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -2,14 +2,20 @@
 
 #[path = "common/engine_harness.rs"]
 mod engine_harness;
+#[path = "common/retry.rs"]
+mod retry;
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpStream, UdpSocket};
 use std::process::{Child, Command, Output, Stdio};
 use std::time::Duration;
 
+use retry::retry_interrupted;
 use swiftlb::iax2::Iax2Config;
 
+/// Time within which a query of the program must arrive.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(8);
+
 /// A started program that is killed at the end of the test. A program that outlives its test would hold the pipe of
 /// the test's output open, and its reader would wait.
 struct KillOnDrop(Child);
@@ -83,7 +89,7 @@
     let file = std::env::temp_dir().join(format!("swiftlb-serve-{}.json", std::process::id()));
     let resolvers = [0, 1].map(|_| UdpSocket::bind("127.0.0.1:0").expect("bind a loopback port"));
     let text = resolvers.each_ref().map(|resolver| {
-        resolver.set_read_timeout(Some(Duration::from_secs(8))).expect("set the read time-out");
+        resolver.set_read_timeout(Some(QUERY_TIMEOUT)).expect("set the read time-out");
         let resolver_address = resolver.local_addr().expect("local address").to_string();
         engine_harness::config_json("127.0.0.1:0", &resolver_address, &["127.0.0.1:9".to_owned()])
     });
@@ -109,7 +115,10 @@
     let signal =
         |name: &str| assert!(Command::new("kill").args([name, &id]).status().expect("run kill").success());
     // The program queries the first resolver, and the second one after a reload; an invalid file changes nothing.
-    resolvers[0].recv(&mut [0; 512]).expect("receive a query");
+    let receive_query = |resolver: &UdpSocket| {
+        retry_interrupted(QUERY_TIMEOUT, || resolver.recv(&mut [0; 512])).expect("receive a query");
+    };
+    receive_query(&resolvers[0]);
     std::fs::write(&file, "{").expect("write the file");
     signal("-HUP");
     let mut log_lines = log.by_ref().map(|line| line.expect("UTF-8 text"));
@@ -120,7 +129,7 @@
     check_health();
     std::fs::write(&file, &text[1]).expect("write the file");
     signal("-HUP");
-    resolvers[1].recv(&mut [0; 512]).expect("receive a query");
+    receive_query(&resolvers[1]);
     check_health();
     signal("-TERM");
     assert!(child.0.wait().expect("wait for the process").success());
--- a/tests/common/endpoints.rs
+++ b/tests/common/endpoints.rs
@@ -14,6 +14,10 @@
 use tinyjson::JsonValue;
 
 use crate::engine_harness::config_json;
+use retry::retry_interrupted;
+
+#[path = "retry.rs"]
+mod retry;
 
 /// Time-out of every wait; a test that reaches it fails.
 const TIMEOUT: Duration = Duration::from_secs(8);
@@ -185,7 +189,7 @@
     /// Breaks the connection of an exchange and keeps its listener.
     pub fn reset_and_listen(&mut self) -> ListeningExchange {
         let listener = self.listener.take().expect("listener of an exchange");
-        self.stream.peek(&mut [0]).expect("bytes to leave unread");
+        retry_interrupted(TIMEOUT, || self.stream.peek(&mut [0])).expect("bytes to leave unread");
         let _ = self.stream.shutdown(std::net::Shutdown::Both);
         ListeningExchange { listener }
     }
@@ -193,7 +197,7 @@
     /// Resets the connection, as the system does when a process dies.
     pub fn reset(self) {
         // Closing a socket with unread bytes makes the system send a reset, so this waits for some bytes.
-        self.stream.peek(&mut [0]).expect("bytes to leave unread");
+        retry_interrupted(TIMEOUT, || self.stream.peek(&mut [0])).expect("bytes to leave unread");
     }
 }
 
@@ -336,7 +340,8 @@
     /// Receives the next frame and does not acknowledge it.
     pub fn receive_unacked(&mut self) -> Frame {
         let mut bytes = [0; 2_048];
-        let (length, from) = self.socket.recv_from(&mut bytes).expect("datagram before the time-out");
+        let (length, from) = retry_interrupted(TIMEOUT, || self.socket.recv_from(&mut bytes))
+            .expect("datagram before the time-out");
         self.peer = Some(from);
         decode_frame(&bytes[..length]).expect("valid frame")
     }
--- a/tests/resolver.rs
+++ b/tests/resolver.rs
@@ -1,10 +1,14 @@
 //! The resolver's client against a simulated resolver on loopback: which lists are accepted, and a change of the
 //! resolver's address.
 
+#[path = "common/retry.rs"]
+mod retry;
+
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
 
 use crossbeam_channel::{Receiver, bounded};
+use retry::retry_interrupted;
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
 use simple_dns::{CLASS, Name, Packet, ResourceRecord};
 use swiftlb::engine::ListEntry;
@@ -29,7 +33,7 @@
     /// Waits for a query; returns its id and the address that it came from.
     fn query(&self) -> (u16, SocketAddr) {
         let mut bytes = [0; 512];
-        let (_, from) = self.0.recv_from(&mut bytes).expect("receive a query");
+        let (_, from) = retry_interrupted(TIMEOUT, || self.0.recv_from(&mut bytes)).expect("receive a query");
         (u16::from_be_bytes([bytes[0], bytes[1]]), from)
     }
 
