--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Reads the available data and calls `each` for every line, with the time at which its last byte was received.
-    /// If `each` breaks off, the connection is treated as corrupt and nothing more is read.
+    /// Reads the available data and calls `each` for every line, with the time at which its last data was read. If
+    /// `each` returns `Break`, the connection is treated as corrupt and nothing more is read.
     pub fn read_lines(
         &mut self,
         mut each: impl FnMut(SplitLine, SystemTime) -> ControlFlow<()>,
@@ -203,7 +203,8 @@
         std::mem::take(&mut self.written_messages)
     }
 
-    /// Writes queued bytes as far as the socket accepts them. The next read reports a connection that breaks here.
+    /// Writes queued bytes as far as the socket accepts them. If the connection breaks, the queued bytes are dropped and
+    /// the next read reports the end. Before the connection is established, nothing may be queued: this would drop it.
     pub fn flush(&mut self) {
         while self.unsent_start < self.unsent.len() && self.connect_deadline.is_none() {
             match self.stream.write(&self.unsent[self.unsent_start..]) {
@@ -260,18 +261,18 @@
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
-    /// Whether the remote end had closed the connection before it read everything that was sent. The remote system
-    /// answers such data with a reset, which is the only sign of it.
+    /// Whether the remote end closed the connection before it had read everything that was sent. Its operating system
+    /// replies to unread data with a reset, which is the only sign of it.
     pub fn has_unread_data(&self) -> bool {
         matches!(self.stream.take_error(), Ok(Some(_)))
     }
 }
 
-/// Maximum number of connections kept after their callers closed them, to see whether everything was read. They are
-/// few because their file descriptors are not counted toward the limit of the process.
+/// Maximum number of connections kept after their callers closed them, to see whether everything was read. The
+/// number is low because their file descriptors are not counted toward the limit of the process.
 pub const MAX_CLOSED_CONNECTIONS: usize = 32;
 
-/// Connections closed by the remote end, oldest first, each with its id and the time until which it is kept.
+/// Connections closed by the remote end, oldest first: the time until which each is kept, its id and the connection.
 #[derive(Debug, Default)]
 pub struct ClosedConnections(VecDeque<(SystemTime, u64, Connection)>);
 
