--- a/src/net/dns.rs
+++ b/src/net/dns.rs
@@ -42,7 +42,7 @@
     /// It has no SOA record, which carries the serial of the list.
     #[error("the answer has no serial (SOA record)")]
     NoSerial,
-    /// It lists no exchange, or address or text records of a listed exchange are missing.
+    /// It lists no exchange, or the address or text record of a listed exchange is missing or invalid.
     #[error("the list of exchanges in the answer is empty or incomplete")]
     Incomplete,
 }
@@ -88,6 +88,8 @@
     });
     let serial = serial.ok_or(AnswerError::NoSerial)?;
     let records = || packet.additional_records.iter().chain(&packet.answers);
+    // The target of an SRV record is the name and the zone of an exchange, as in `NAME.ZONE.hosts`. Its text record
+    // contains the number (`cell`) and the start time in Unix ms (`started`; 0 for long ago).
     let entry = |target: &Name<'_>, port: u16, priority: u16| {
         let address = records().find_map(|record| match &record.rdata {
             RData::A(a) if record.name == *target => Some(std::net::Ipv4Addr::from(a.address)),
@@ -166,7 +168,7 @@
                 Err(error) => {
                     tracing::warn!(
                         address = %new_source.resolver, %error,
-                        "no socket for the new address of the resolver; the old address is queried"
+                        "cannot open a socket for the new address of the resolver; still querying the old one"
                     )
                 }
             }
