--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -25,7 +25,7 @@
 use crate::interface::Number;
 use crate::ops::{OperatorReply, OperatorRequest};
 
-/// The caller connection that stands for all IAX2 callers. TCP connections of callers have the ids after it.
+/// Id of the caller connection that represents all IAX2 callers; TCP connections of callers have the ids from 1 on.
 pub(super) const IAX2_CONN: CallerConnId = 0;
 /// Poll token of the waker; the next one is that of the listener for callers.
 pub(super) const WAKER: Token = Token(0);
@@ -33,7 +33,7 @@
 /// Time from the first byte of a line to its end, on a caller connection. Callers may be on poor links.
 const CALLER_LINE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// The same on a connection to an exchange. It is shorter: exchanges are on good links, and calls with a deadline
-/// wait for the answers on these connections.
+/// wait for the replies on these connections.
 const EXCHANGE_LINE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum number of connections accepted before other events are handled.
 const MAX_ACCEPTS: usize = 16;
@@ -41,8 +41,8 @@
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Time before the next accept when the operating system has no resources for another connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Time for which a closed connection is kept to see whether the remote end answers unread data with a reset: a
-/// round trip on a poor link, and well within the second in which a release has to be sent.
+/// Time for which a closed connection is kept to see whether the remote end replies to unread data with a reset: it
+/// covers a round trip on a poor link, and is well within the second in which a release has to be sent.
 const CLOSED_CONN_KEEP_TIME: Duration = Duration::from_millis(300);
 /// Time for writing the messages still queued on a connection that is being closed.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -83,7 +83,8 @@
 pub(super) struct Driver {
     report_field_names: Arc<[String]>,
     connect_timeout: Duration,
-    source: Sender<ListSource>,
+    /// Sends new addresses of the resolver to its thread.
+    source_sender: Sender<ListSource>,
     registry: Registry,
     listener: TcpListener,
     /// When to accept again, if connections may be left in the backlog.
@@ -107,7 +108,7 @@
     last_caller_conn: CallerConnId,
     /// Inputs for the reducer, oldest first.
     inputs: VecDeque<Input>,
-    /// Time at which the process exits at the latest; set as soon as every call is answered.
+    /// Time at which the process exits at the latest; set by [`Effect::Exit`].
     exit_deadline: Option<SystemTime>,
 }
 
@@ -117,7 +118,7 @@
         mut listener: TcpListener,
         (operator_server, handover): (Option<OperatorServer>, Option<Handover>),
         registry: Registry,
-        source: Sender<ListSource>,
+        source_sender: Sender<ListSource>,
         iax2_front: Option<Iax2Front>,
         inputs: VecDeque<Input>,
     ) -> std::io::Result<Self> {
@@ -125,7 +126,7 @@
         Ok(Self {
             report_field_names: config.report_field_names.clone().into(),
             connect_timeout: config.connect_timeout,
-            source,
+            source_sender,
             registry,
             listener,
             accept_retry_at: None,
@@ -170,6 +171,7 @@
     /// When [`Self::handle_timeouts`] has to run next.
     pub(super) fn next_timeout(&self) -> Option<SystemTime> {
         let iax2_timeout = self.iax2_front.as_ref().and_then(|iax2| iax2.endpoint.next_timeout());
+        // A time in the past, so that the next poll does not wait.
         let readable = (!self.readable.is_empty()).then_some(SystemTime::UNIX_EPOCH);
         let idle = self.caller_conns.is_empty() && self.exchange_conns.is_empty() && self.closing.is_empty();
         let timeout_check = (!idle || !self.closed_connections.is_empty()).then_some(self.timeout_check_at);
@@ -180,7 +182,7 @@
             .min()
     }
 
-    /// Whether the process may exit: every call is answered, and IAX2 peers have acknowledged the last frames or
+    /// Whether the process may exit: the reducer has asked for it, and IAX2 peers have acknowledged the last frames or
     /// the time for retransmissions is over.
     pub(super) fn is_done(&self) -> bool {
         let all_acknowledged = self.iax2_front.as_ref().is_none_or(|iax2| iax2.endpoint.all_acknowledged());
@@ -285,7 +287,7 @@
         );
     }
 
-    /// Runs `work` on the connection to the sibling process.
+    /// Runs `work` on the handover socket and queues its inputs; does nothing without an inherited listener.
     fn with_handover(&mut self, work: impl FnOnce(&mut Handover, &Registry, &mut VecDeque<Input>)) {
         if let Some(handover) = &mut self.handover {
             work(handover, &self.registry, &mut self.inputs);
@@ -369,7 +371,7 @@
         match read {
             ReadOutcome::WouldBlock => {}
             ReadOutcome::More => self.readable.push(ConnId::Caller(caller_conn).token()),
-            // The reducer answers the open calls of the connection and then closes it.
+            // The reducer fails the open set-ups of the connection and then closes it.
             ReadOutcome::Ended(EndReason::Corrupt) => {
                 self.inputs.push_back(Input::CallerStreamCorrupt { caller_conn })
             }
@@ -428,8 +430,8 @@
                     Input::ProbeResult { exchange_conn, passed, report }
                 }
                 Ok(ExchangeLine::Ignored) => Input::ExchangeActivity { exchange_conn },
-                // The connection is dropped after an unreadable line: the line may have been an answer, and its
-                // call would wait for it in vain.
+                // The connection is dropped after an unreadable line: it may have been the reply to a set-up, which
+                // its call would wait for in vain.
                 Err(_) => return ControlFlow::Break(()),
             });
             ControlFlow::Continue(())
@@ -558,9 +560,9 @@
                 self.report_field_names = config.report_field_names.into();
                 self.connect_timeout = config.connect_timeout;
                 let source = ListSource { resolver: config.resolver, zones: config.zones };
-                if self.source.try_send(source).is_err() {
+                if self.source_sender.try_send(source).is_err() {
                     tracing::warn!(
-                        "too many address changes of the resolver are queued; the last one is ignored"
+                        "cannot pass the address of the resolver to its thread; a change of it is ignored"
                     );
                 }
             }
