--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -20,7 +20,7 @@
 use crate::engine::{CallUid, HandoverState, Input, ListEntry, SiblingMessage};
 use crate::interface::Readiness;
 
-/// Time for the whole handover. The predecessor replies between two iterations of its event loop.
+/// Time for the whole handover. The predecessor begins its reply within one iteration of its event loop.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum number of bytes of a handover, and of unsent bytes to the sibling process.
 const MAX_BUFFERED_BYTES: usize = 1 << 20;
@@ -46,10 +46,10 @@
     Ok(listener)
 }
 
-/// Path of the Unix socket of the handover, for processes that share this folder for temporary files and listen at
-/// this address.
-pub fn socket_path(folder: &Path, listen: SocketAddr) -> PathBuf {
-    folder.join(format!("swiftlb-{listen}"))
+/// Path of the Unix socket of the handover, for processes that share this directory for temporary files and listen
+/// at this address.
+pub fn socket_path(directory: &Path, listen: SocketAddr) -> PathBuf {
+    directory.join(format!("swiftlb-{listen}"))
 }
 
 fn json_line(name: &str, fields: Vec<(&str, JsonValue)>) -> Vec<u8> {
@@ -168,7 +168,7 @@
 /// Requests a handover from the process that serves now and receives its state.
 ///
 /// # Errors
-/// If no process serves, or its state is invalid or incomplete: then this process starts without it.
+/// If no process serves, or its state is late, invalid or incomplete. This process then starts without the state.
 pub fn request_handover(socket_path: &Path) -> io::Result<(PredecessorConn, HandoverState)> {
     let mut stream = blocking::UnixStream::connect(socket_path)?;
     let deadline = SystemTime::now() + HANDOVER_TIMEOUT;
@@ -331,7 +331,7 @@
 
     fn disconnect(&mut self, registry: &Registry, inputs: &mut impl Extend<Input>) {
         if self.sibling.take().is_some() {
-            // A successor that has begun to serve has replaced the Unix socket of this process.
+            // A successor that has begun to serve has bound the path itself, so this process has to bind it again.
             self.listen(registry);
             inputs.extend([Input::SiblingDisconnected]);
         }
