--- a/src/net/jsonl.rs
+++ b/src/net/jsonl.rs
@@ -13,14 +13,19 @@
 use crate::engine::{CallUid, CallerMessage, ExchangeMessage, SetUp, duration_from_ms, duration_to_ms};
 use crate::interface::{LoadReport, Outcome, Reason};
 
-/// Maximum length of a line, in bytes.
+/// Maximum length of a line with its line feed, in bytes.
 pub const MAX_LINE_BYTES: usize = 16 * 1024;
 
-/// Longest wait at a processor that is accepted from an exchange: a wrong value must not exclude it for good.
+/// Maximum wait at the processor of an exchange. A longer reported wait is reduced to it, so that a wrong value does
+/// not exclude the exchange for good.
 const MAX_WAIT_MS: f64 = 60_000.0;
 
-/// Q.850 cause of normal clearing.
+// Q.850 causes.
 const NORMAL_CLEARING: u8 = 16;
+const USER_BUSY: u8 = 17;
+const NO_CIRCUIT: u8 = 34;
+const TEMPORARY_FAILURE: u8 = 41;
+const RECOVERY_ON_TIMER_EXPIRY: u8 = 102;
 
 /// Why a line cannot be parsed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
@@ -150,6 +155,7 @@
         }
     };
     let flag = |name: &str| Ok(extra(name, 0.0..=1.0)?.is_some_and(|n| n != 0.0));
+    // `via` is the tandem that a transit call comes from, or the route that is advised for another call; -1 for none.
     let transit = flag("transit")?;
     let via = extra("via", -1.0..=65_535.0)?.filter(|n| *n >= 0.0).map(|n| n as u32);
     Ok(SetUp {
@@ -205,9 +211,9 @@
 fn parse_outcome(line: &Line) -> (Outcome, Reason) {
     let outcome = match line.cause() {
         Some(NORMAL_CLEARING) => Outcome::Completed,
-        Some(34) => Outcome::Congested,
-        Some(41) => Outcome::Reset,
-        Some(102) => Outcome::NotSent,
+        Some(NO_CIRCUIT) => Outcome::Congested,
+        Some(TEMPORARY_FAILURE) => Outcome::Reset,
+        Some(RECOVERY_ON_TIMER_EXPIRY) => Outcome::NotSent,
         _ => Outcome::Busy,
     };
     let meta = line.meta().ok();
@@ -261,16 +267,16 @@
             format_line("running", call, "", None, description.as_deref())
         }
         CallerMessage::Refused { retry_after } if retry_after.is_zero() => {
-            format_line("stop", call, "", Some(34), None)
+            format_line("stop", call, "", Some(NO_CIRCUIT), None)
         }
         CallerMessage::Refused { retry_after } => {
             let retry_after = format!(r#""wait":"{}""#, rounded_ms(*retry_after));
-            format_line("stop", call, &retry_after, Some(34), None)
+            format_line("stop", call, &retry_after, Some(NO_CIRCUIT), None)
         }
-        CallerMessage::Failed { busy: true } => format_line("stop", call, "", Some(17), None),
-        CallerMessage::Failed { busy: false } => format_line("stop", call, "", Some(41), None),
+        CallerMessage::Failed { busy: true } => format_line("stop", call, "", Some(USER_BUSY), None),
+        CallerMessage::Failed { busy: false } => format_line("stop", call, "", Some(TEMPORARY_FAILURE), None),
         CallerMessage::Released { cut } => {
-            format_line("stop", call, "", Some(if *cut { 41 } else { NORMAL_CLEARING }), None)
+            format_line("stop", call, "", Some(if *cut { TEMPORARY_FAILURE } else { NORMAL_CLEARING }), None)
         }
         CallerMessage::HealthCheckResult { passed } => {
             format_line("checked", call, "", Some((*passed).into()), None)
@@ -314,7 +320,8 @@
     }
 }
 
-/// Splits a stream of bytes into lines; it buffers no more than one line of the maximum length.
+/// Splits a stream of bytes into lines. Of a line that is too long, it buffers no more than the maximum length and the
+/// bytes of one `push`.
 #[derive(Debug, Default)]
 pub struct LineSplitter {
     buffer: Vec<u8>,
@@ -327,12 +334,13 @@
 pub enum SplitLine {
     /// A complete line, without its line feed.
     Complete(Vec<u8>),
-    /// The first bytes of one that is too long.
+    /// The first bytes of a line that is too long.
     TooLong(Vec<u8>),
 }
 
 impl LineSplitter {
-    /// Adds received bytes and calls `each` for every line that they complete, until `each` breaks off.
+    /// Adds received bytes and calls `each` for every line that they complete or make too long, until `each` returns
+    /// `Break`. Blank lines are skipped.
     pub fn push(
         &mut self,
         mut bytes: &[u8],
@@ -362,7 +370,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Whether an incomplete line is buffered.
+    /// Whether an incomplete line is buffered, or the rest of one that is too long is still awaited.
     pub fn has_partial_line(&self) -> bool {
         self.skipping || !self.buffer.is_empty()
     }
