--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,8 +1,8 @@
 //! Network I/O: the sockets, the helper threads and the event loop that runs the reducer.
 //!
-//! One thread polls all TCP connections. It turns received data into inputs, runs the reducer on each input and
+//! One thread polls all TCP and Unix sockets. It turns received data into inputs, runs the reducer on each input and
 //! performs the resulting effects; it never blocks on a remote end. Signals, the resolver and IAX2 datagrams have
-//! a thread each, which sends its messages to the loop through one bounded channel.
+//! a thread each; these threads send messages to the loop through one bounded channel.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
@@ -44,6 +44,10 @@
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Time for writing the last messages before the process exits.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(50);
+/// Size of the receive buffer for IAX2 datagrams; no UDP datagram is longer.
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
+/// Time before the next receive from the IAX2 socket after an error.
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// Why a softswitch cannot start or has to stop serving.
 #[derive(Debug, Error)]
@@ -112,8 +116,8 @@
     edge: EdgeSettings,
 }
 
-/// Handover state of a process with an inherited listening socket: it may replace another process, and may be
-/// replaced itself.
+/// Handover of a process with an inherited listening socket: it may replace another process, and may be replaced
+/// itself.
 #[derive(Debug)]
 struct HandoverSetup {
     socket_path: PathBuf,
@@ -131,17 +135,18 @@
     }
 
     /// Uses an inherited listening socket and requests a handover from the process that serves on it now, if its
-    /// Unix socket exists in `folder`. If the handover fails, this is an ordinary start.
+    /// Unix socket exists in `directory`. If the handover fails, this is an ordinary start.
     ///
     /// # Errors
     /// If one of the other addresses cannot be bound.
     pub fn from_inherited(
         listener: TcpListener,
-        folder: &Path,
+        directory: &Path,
         config: Config,
         iax2: Option<Iax2Config>,
     ) -> Result<Self, ServeError> {
-        let socket_path = handover::socket_path(folder, listener.local_addr().map_err(io_error("listen"))?);
+        let socket_path =
+            handover::socket_path(directory, listener.local_addr().map_err(io_error("listen"))?);
         let predecessor = match handover::request_handover(&socket_path) {
             Ok(predecessor) => Some(predecessor),
             Err(error) if matches!(error.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => None,
@@ -228,7 +233,7 @@
         self.loop_sender.clone()
     }
 
-    /// Serves until a stop was requested and every accepted call has been answered.
+    /// Serves until a stop was requested and no call delays the exit any more.
     ///
     /// # Errors
     /// If a required socket, thread or recorder fails, or the settings are rejected.
@@ -257,7 +262,7 @@
             tracing::info!(exchanges = handover_state.list.len(), "takes the place of another process");
             config.list_serial = handover_state.serial;
         }
-        let source = start_resolver_thread(&config, &loop_sender)?;
+        let source_sender = start_resolver_thread(&config, &loop_sender)?;
         let mut inputs = VecDeque::new();
         // While another process still holds the IAX2 address, binding is retried until that process exits.
         let (iax2_front, mut unbound_iax2) = match iax2_front {
@@ -272,14 +277,14 @@
         }
         let mut effects = Vec::new();
         let now = SystemTime::now();
-        let inherited = handover_state.is_some();
+        let is_replacement = handover_state.is_some();
         let mut engine = match handover_state {
             Some(handover_state) => Engine::take_over(&config, handover_state, now, &mut effects)?,
             None => Engine::new(&config, now, &mut effects)?,
         };
         let recorder = start_recorder(&config, &edge, now)?;
         if recorder.is_some() {
-            engine.start_recording(inherited, &mut effects);
+            engine.start_recording(is_replacement, &mut effects);
         }
         let registry = poll.registry().try_clone().map_err(io_error("poll"))?;
         let handover =
@@ -289,9 +294,16 @@
             .map(|listener| OperatorServer::new(listener, &registry, edge.fleet_endpoint))
             .transpose()
             .map_err(io_error("listen for operators"))?;
-        let mut driver =
-            Driver::new(&config, listener, (operator_server, handover), registry, source, iax2_front, inputs)
-                .map_err(io_error("listen"))?;
+        let mut driver = Driver::new(
+            &config,
+            listener,
+            (operator_server, handover),
+            registry,
+            source_sender,
+            iax2_front,
+            inputs,
+        )
+        .map_err(io_error("listen"))?;
         if let Some(recorder) = recorder {
             driver.set_recorder(recorder, edge.clock_skew.start_clock(now));
         }
@@ -363,7 +375,7 @@
 ) -> Result<Option<Recorder>, ServeError> {
     let Some(settings) = edge.records.clone() else { return Ok(None) };
     let run_started_us = now.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
-    let head = FileHeader {
+    let header = FileHeader {
         softswitch: config.name.clone(),
         home: config.settings.home,
         run_started_us,
@@ -371,7 +383,7 @@
     };
     tracing::info!(directory = %settings.directory.display(), "recording");
     let log_error = |error: &RecorderError| tracing::error!(%error, "recording has stopped");
-    Ok(Some(Recorder::start(settings, head, log_error)?))
+    Ok(Some(Recorder::start(settings, header, log_error)?))
 }
 
 /// Starts the IAX2 front on this socket, with a thread that receives its datagrams.
@@ -418,11 +430,12 @@
 }
 
 fn read_datagrams(socket: &UdpSocket, loop_sender: &LoopSender) {
-    let mut buffer = vec![0; 64 * 1024];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // The error reports an earlier datagram that a dead peer rejected (ICMP); the time-out of its leg handles it.
+        // The error is about an earlier datagram that could not be delivered (ICMP); the time-out of its leg handles
+        // that.
         let Ok((length, from)) = socket.recv_from(&mut buffer) else {
-            std::thread::sleep(Duration::from_millis(5));
+            std::thread::sleep(RECEIVE_RETRY_DELAY);
             continue;
         };
         let message = LoopMessage::Datagram(from, buffer[..length].to_vec(), SystemTime::now());
