--- a/src/net/operator.rs
+++ b/src/net/operator.rs
@@ -11,10 +11,10 @@
 
 use crate::ops::{self, OperatorReply, OperatorRequest};
 
-/// Maximum number of open connections; a further one replaces an answered one, or else the oldest without a
-/// complete request.
+/// Maximum number of open connections; a further one replaces one that has its reply, else the oldest without a
+/// complete request, else the oldest.
 pub(super) const MAX_CONNECTIONS: usize = 8;
-/// First poll token of the server; tokens of call connections never become as large.
+/// First poll token of the server; tokens of other connections never become as large.
 const FIRST_TOKEN: usize = 1 << 62;
 const LISTENER: Token = Token(FIRST_TOKEN);
 /// Time for receiving a complete request and sending its reply.
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Closes one connection: an answered one, else the oldest without a request, else the oldest.
+    /// Closes one connection: one that has its reply, else the oldest without a complete request, else the oldest.
     fn evict_connection(&mut self) {
         let key =
             |(request_id, c): (&RequestId, &OperatorConn)| (!c.replied, c.request_received, *request_id);
@@ -130,7 +130,7 @@
         let Some(connection) = self.connections.get_mut(&request_id) else { return };
         let mut buffer = [0; 1024];
         let mut ended = false;
-        // The bound stops a client that never ceases to send; data after a complete request is ignored.
+        // The limit stops a client that sends without end; data after a complete request is ignored.
         for _ in 0..MAX_READS {
             match connection.stream.read(&mut buffer) {
                 Ok(0) => ended = true,
