--- a/src/ops/metrics.rs
+++ b/src/ops/metrics.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-/// Number of calls of one class by result.
+/// Numbers of established, refused and failed calls of one class; the field names are the values of the label `result`.
 #[derive(Clone, Debug, Default)]
 struct CallCounts {
     class: String,
