--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -21,7 +21,7 @@
     Readiness,
     /// Metrics of this process.
     Metrics,
-    /// Begin a drain: health checks fail, IAX2 calls are refused, and JSON-lines connections are closed.
+    /// Begin a drain: health checks fail, new IAX2 calls are refused, and JSON-lines connections are closed.
     BeginDrain,
     /// End the drain and accept calls again.
     EndDrain,
@@ -50,7 +50,7 @@
     /// No endpoint has this path.
     #[error("no such path")]
     UnknownPath,
-    /// The endpoint takes another method, the one given.
+    /// The endpoint accepts only the given method.
     #[error("this path takes {0} only")]
     WrongMethod(&'static str),
 }
@@ -58,7 +58,7 @@
 /// Reply to an operator's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorReply {
-    /// The request was carried out, or the answer is yes.
+    /// The request was carried out, or the process is ready to serve.
     Done,
     /// Not ready to serve.
     NotReady,
