--- a/src/config.rs
+++ b/src/config.rs
@@ -221,14 +221,14 @@
 fn parse_settings(settings: &JsonNode<'_>) -> Result<Settings, ConfigError> {
     let (limits, invariants, specifics) =
         (settings.get("policyLimits")?, settings.get("invariants")?, settings.get("specifics")?);
-    let pools = specifics.choice("shape", &[("meshed", false), ("groups", true)])?;
+    let has_pools = specifics.choice("shape", &[("meshed", false), ("groups", true)])?;
     let home = specifics.number("homeOffice")?;
     let max_retry_after_ms = limits.non_negative("maxRetryAfterMs")?;
     Ok(Settings {
         softswitch_count: (settings.non_negative("balancers")? as u32).max(1),
         self_index: settings.non_negative("selfIndex")? as u32,
-        home: (!pools && home >= 0.0).then_some(home as u32),
-        classes: parse_classes(settings, &specifics, pools)?,
+        home: (!has_pools && home >= 0.0).then_some(home as u32),
+        classes: parse_classes(settings, &specifics, has_pools)?,
         tenants: settings
             .get("tenants")?
             .items()?
@@ -272,7 +272,7 @@
 fn parse_classes(
     settings: &JsonNode<'_>,
     specifics: &JsonNode<'_>,
-    pools: bool,
+    has_pools: bool,
 ) -> Result<Vec<Class>, ConfigError> {
     let widths = specifics.get("channelsNeeded")?.numbers()?;
     let hold_times_ms = specifics.get("classHoldMs")?.numbers()?;
@@ -294,7 +294,7 @@
                 idempotent: class
                     .choice("semantics", &[("pure", true), ("token", false), ("side_effect", false)])?,
                 pools: match class_pools.get(i) {
-                    Some(numbers) if pools => numbers.numbers()?.into_iter().map(|n| n as u32).collect(),
+                    Some(numbers) if has_pools => numbers.numbers()?.into_iter().map(|n| n as u32).collect(),
                     _ => Vec::new(),
                 },
             })
