--- a/src/edge.rs
+++ b/src/edge.rs
@@ -51,12 +51,12 @@
     pub records: Option<RecorderSettings>,
     /// Whether the operators' server has the endpoint `/edge/fleet`, which gives consoles the state of the fleet.
     pub fleet_endpoint: bool,
-    /// Error of the clock of the records, for rehearsals.
+    /// Simulated error of the clock of the records, for rehearsals.
     pub clock_skew: ClockSkew,
 }
 
-/// Error of the clock of the records. It shows in a rehearsal what a wrong clock does to a report; nothing else uses
-/// this clock.
+/// Simulated error of the clock of the records: a rehearsal shows how a wrong clock affects a report. Nothing but the
+/// recording uses this clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClockSkew {
     /// Offset at the start, in ms; negative if the clock is behind.
