--- a/src/wire.rs
+++ b/src/wire.rs
@@ -2,9 +2,10 @@
 //! with.
 //!
 //! A batch is a header, records of a fixed size, and a tail that holds the parts of variable length; records
-//! refer to the tail by offset and length. All integers and floats are little-endian. Decoding is strict: a
-//! frame that is too short, a length that does not fit, a reference outside the tail or an unknown code is an
-//! error. Unknown settings keys are ignored. Nothing is decided here.
+//! refer to the tail by offset and length. A record begins with its code; batches and replies have separate
+//! codes. All integers and floats are little-endian. Decoding is strict: a frame that is too short, a length
+//! that does not fit, a reference outside the tail or an unknown code is an error. Unknown settings keys are
+//! ignored. Nothing is decided here.
 
 use std::collections::BTreeMap;
 
@@ -27,6 +28,8 @@
 const REPLY_RECORD_BYTES: usize = 24;
 /// Size of an entry of a list of exchanges.
 const LIST_ENTRY_BYTES: usize = 25;
+/// Maximum number of values of a load report.
+const MAX_REPORT_VALUES: usize = 4;
 /// Index that addresses a message to every peer.
 const EVERY_PEER: u32 = u32::MAX;
 
@@ -316,7 +319,8 @@
     })
 }
 
-/// The reason is in the lower four bits, the wait of a full processor in ms in the others.
+/// The reason is in the lower four bits, the wait of a full processor in ms in the others. A crank-back has a 1 in the
+/// others if the destination was full.
 fn reason_from_code(code: u32) -> Reason {
     match code % 16 {
         1 => Reason::NoCircuit,
@@ -330,7 +334,7 @@
 
 fn read_load_report(data: &mut &[u8]) -> Result<Option<LoadReport>, WireError> {
     let count = usize::from(read_u8(data)?);
-    if count > 4 {
+    if count > MAX_REPORT_VALUES {
         return Err(WireError::UnknownCode { what: "length of a load report", code: count as u32 });
     }
     let values: Vec<f64> = (0..count).map(|_| read_f32(data).map(f64::from)).collect::<Result<_, _>>()?;
@@ -515,7 +519,7 @@
         let found = choices.iter().find(|(name, _)| *name == value);
         found
             .map(|(_, choice)| *choice)
-            .ok_or_else(|| invalid(key, value, "which is not one of the allowed words"))
+            .ok_or_else(|| invalid(key, value, "which is not one of the accepted values"))
     }
 }
 
@@ -570,11 +574,11 @@
 fn read_classes(keys: &Keys<'_>, has_pools: bool) -> Result<Vec<Class>, WireError> {
     let count = keys.count("classes.count")?;
     let widths = keys.numbers("specifics.channelsNeeded")?;
-    let holds = keys.numbers("specifics.classHoldMs")?;
+    let hold_times_ms = keys.numbers("specifics.classHoldMs")?;
     (0..count)
         .map(|i| {
             let key = |name: &str| format!("classes.{i}.{name}");
-            let listed = |values: &[f64], key: &str| {
+            let positive = |values: &[f64], key: &str| {
                 let value = values.get(i as usize).copied().filter(|value| *value > 0.0);
                 value.ok_or_else(|| {
                     invalid(key, keys.0.get(key).unwrap_or(&""), "which has no positive value for a class")
@@ -584,8 +588,8 @@
                 target_setup_ms: keys.at_least(&key("aimMs"), 0.0)?,
                 worth: keys.at_least(&key("worth"), 0.0)?,
                 late_worth_factor: keys.at_least(&key("lateShare"), 0.0)?,
-                width: listed(&widths, "specifics.channelsNeeded")?,
-                mean_hold_ms: listed(&holds, "specifics.classHoldMs")?,
+                width: positive(&widths, "specifics.channelsNeeded")?,
+                mean_hold_ms: positive(&hold_times_ms, "specifics.classHoldMs")?,
                 idempotent: keys
                     .choice(&key("semantics"), &[("pure", true), ("token", false), ("side_effect", false)])?,
                 pools: if has_pools { read_pools(keys, i)? } else { Vec::new() },
