--- a/src/bin/swiftlb-benchlink.rs
+++ b/src/bin/swiftlb-benchlink.rs
@@ -1,8 +1,8 @@
 //! Adapter between the simulator's protocol and the decision module: runs many controllers in one process.
 //!
 //! Reads batches from standard input, passes each event to the controller of its instance, and writes and
-//! flushes one reply for each batch. A malformed frame ends the process with a message on standard error and
-//! exit status 1.
+//! flushes one reply for each batch. A malformed frame or invalid settings end the process with a message on standard
+//! error and exit status 1.
 
 use std::collections::BTreeMap;
 use std::error::Error;
