--- a/tests/common/endpoints.rs
+++ b/tests/common/endpoints.rs
@@ -346,8 +346,8 @@
         decode_frame(&bytes[..length]).expect("valid frame")
     }
 
-    /// Receives and acknowledges the next frame in order. POKE is answered, and all other frames are skipped;
-    /// duplicates are acknowledged again.
+    /// Receives and acknowledges the next sequenced frame in order. POKE gets a PONG; frames out of order and duplicates
+    /// are counted and acknowledged, and all other frames are skipped.
     pub fn receive(&mut self) -> FullFrame {
         loop {
             let Frame::Full(frame) = self.receive_unacked() else { continue };
