--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -338,9 +338,9 @@
     exchange_2.send(&stop(&call, 34, r#""note":"group_full""#));
     let rejection = iax2_caller.expect(FrameType::Iax, iax::REJECT);
     assert_eq!((rejection.cause_code, rejection.cause.as_deref()), (Some(34), Some("retry after 300 ms")));
-    let mut lost = Iax2Endpoint::new(22);
-    lost.call(switch.iax2_address.expect("address of the IAX2 front"), "900");
-    assert_eq!(lost.expect(FrameType::Iax, iax::REJECT).cause_code, Some(1));
+    let mut unknown_number = Iax2Endpoint::new(22);
+    unknown_number.call(switch.iax2_address.expect("address of the IAX2 front"), "900");
+    assert_eq!(unknown_number.expect(FrameType::Iax, iax::REJECT).cause_code, Some(1));
 }
 
 /// A softswitch whose exchange 1 speaks IAX2 and exchange 2 JSON lines.
