--- a/tests/replacement.rs
+++ b/tests/replacement.rs
@@ -212,8 +212,10 @@
     let start = 1_800_000_000_000.0;
     let handle =
         |controller: &mut Controller, at: f64, event: Event| controller.handle(at, event, &mut Vec::new());
-    let list =
-        |born| Event::List { kind: ListUpdateKind::Complete, entries: vec![listed(0, 0.0), listed(1, born)] };
+    let list = |started_ms| Event::List {
+        kind: ListUpdateKind::Complete,
+        entries: vec![listed(0, 0.0), listed(1, started_ms)],
+    };
     let mut old = Controller::new(settings.clone(), 1).expect("valid settings");
     handle(&mut old, start, list(0.0));
     let report = Some(vec![17.0, 30.0]);
@@ -265,18 +267,18 @@
 
 // ---- two programs ----
 
-/// A temporary folder that is removed at the end of the test.
-struct Folder(PathBuf);
+/// A temporary directory that is removed at the end of the test.
+struct TempDirectory(PathBuf);
 
-impl Folder {
+impl TempDirectory {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("swiftlb-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("create the folder");
+        std::fs::create_dir_all(&path).expect("create the directory");
         Self(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -290,18 +292,21 @@
 
 impl Program {
     /// Starts the program with the listener as its standard input, descriptor 0.
-    fn start(listener: &TcpListener, folder: &Path) -> Self {
+    fn start(listener: &TcpListener, directory: &Path) -> Self {
         // A port that is free now; the system does not assign it again soon.
         let operator_address =
             TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("bind a loopback port");
         let listener: OwnedFd = listener.try_clone().expect("duplicate the descriptor").into();
         let mut command = Command::new(env!("CARGO_BIN_EXE_swiftlb"));
-        command.env("NODE_CONFIG", folder.join("config.json")).env("NODE_FD", "0").env("TMPDIR", folder);
+        command
+            .env("NODE_CONFIG", directory.join("config.json"))
+            .env("NODE_FD", "0")
+            .env("TMPDIR", directory);
         command
             .env("NODE_OPERATOR", operator_address.to_string())
             .stdin(Stdio::from(listener))
             .stderr(Stdio::piped());
-        command.arg("--iax2").arg(folder.join("iax2.json"));
+        command.arg("--iax2").arg(directory.join("iax2.json"));
         let mut child = command.spawn().expect("start the program");
         let mut log = BufReader::new(child.stderr.take().expect("piped standard error"));
         let mut line = String::new();
@@ -336,23 +341,23 @@
     }
 }
 
-/// What two programs share: the listening socket, the folder, one exchange and the resolver.
-fn shared_setup(name: &str) -> (TcpListener, Folder, ListeningExchange, UdpSocket) {
+/// What two programs share: the listening socket, a directory, one exchange and the resolver.
+fn shared_setup(name: &str) -> (TcpListener, TempDirectory, ListeningExchange, UdpSocket) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback port");
-    let (folder, exchange) = (Folder::new(name), ListeningExchange::new());
+    let (directory, exchange) = (TempDirectory::new(name), ListeningExchange::new());
     let resolver = UdpSocket::bind("127.0.0.1:0").expect("bind a loopback port");
     let address = |a: std::io::Result<SocketAddr>| a.expect("local address").to_string();
     let all = ["127.0.0.1:9".to_owned(), exchange.address().to_string()];
     let text =
         engine_harness::config_json(&address(listener.local_addr()), &address(resolver.local_addr()), &all);
-    std::fs::write(folder.0.join("config.json"), text).expect("write the file");
+    std::fs::write(directory.0.join("config.json"), text).expect("write the file");
     let iax2 = format!(
         r#"{{"enabled":true,"listen":"{}","nodes":[],"contexts":[
         {{"context":"service","class":"lookup","numbers":[{{"prefix":"1","exchange":1}}]}}]}}"#,
         address(UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()))
     );
-    std::fs::write(folder.0.join("iax2.json"), iax2).expect("write the file");
-    (listener, folder, exchange, resolver)
+    std::fs::write(directory.0.join("iax2.json"), iax2).expect("write the file");
+    (listener, directory, exchange, resolver)
 }
 
 fn set_up(caller: &mut JsonLinesConn, exchange: &mut JsonLinesConn, call: &str) {
@@ -364,14 +369,14 @@
 
 #[test]
 fn two_programs_serve_as_one_on_an_inherited_listener() {
-    let (listener, folder, exchange, _resolver) = shared_setup("two");
+    let (listener, directory, exchange, _resolver) = shared_setup("two");
     let address = listener.local_addr().expect("local address");
-    let mut old = Program::start(&listener, &folder.0);
+    let mut old = Program::start(&listener, &directory.0);
     let mut exchange_at_old = exchange.accept();
     let mut caller = JsonLinesConn::connect(address);
     set_up(&mut caller, &mut exchange_at_old, "00000000000000a1");
     set_up(&mut caller, &mut exchange_at_old, "00000000000000a2");
-    let new = Program::start(&listener, &folder.0).ready();
+    let new = Program::start(&listener, &directory.0).ready();
     let mut exchange_at_new = exchange_at_old.accept_another();
     old.terminate();
     // The predecessor closes its idle connection; the successor accepts new ones.
@@ -385,7 +390,7 @@
     assert_eq!(caller.expect("stop", "00000000000000a2").cause(), 16.0);
     assert!(old.child.wait().expect("wait for the process").success(), "the predecessor exits without calls");
     // The successor serves IAX2 as well, once it has bound the address.
-    let iax2 = std::fs::read_to_string(folder.0.join("iax2.json")).expect("read the file");
+    let iax2 = std::fs::read_to_string(directory.0.join("iax2.json")).expect("read the file");
     let iax2_address =
         Iax2Config::parse(&iax2).expect("valid configuration").expect("address of the IAX2 front").listen;
     let mut iax2_caller = Iax2Endpoint::new(20);
@@ -404,7 +409,7 @@
     set_up(&mut caller, &mut exchange_at_new, "00000000000000b2");
     assert_eq!(operator_request(new.operator_address, "GET /ops/readiness").0, 200);
     // The next successor connects to this process, which continues to serve when that successor dies.
-    let next = Program::start(&listener, &folder.0).ready();
+    let next = Program::start(&listener, &directory.0).ready();
     let _exchange_at_next = exchange_at_old.accept_another();
     drop(next);
     let mut again = JsonLinesConn::connect(address);
@@ -413,12 +418,12 @@
 
 #[test]
 fn a_stale_or_invalid_handover_socket_leads_to_an_ordinary_start() {
-    let (listener, folder, exchange, _resolver) = shared_setup("stale");
+    let (listener, directory, exchange, _resolver) = shared_setup("stale");
     let address = listener.local_addr().expect("local address");
-    let socket_path = handover::socket_path(&folder.0, address);
+    let socket_path = handover::socket_path(&directory.0, address);
     let mut invalid_listener = Some(UnixListener::bind(&socket_path).expect("bind the Unix socket"));
     let mut exchange = Some(exchange);
-    let mut lines: Option<JsonLinesConn> = None;
+    let mut last_conn: Option<JsonLinesConn> = None;
     for round in 0..3 {
         let invalid_peer = invalid_listener.take().filter(|_| round == 0).map(|listener| {
             std::thread::spawn(move || {
@@ -431,12 +436,12 @@
             let _ = std::fs::remove_file(&socket_path);
             std::fs::write(&socket_path, "nonsense").expect("write the file");
         }
-        let program = Program::start(&listener, &folder.0);
-        let mut exchange_conn = match (exchange.take(), lines.take()) {
+        let program = Program::start(&listener, &directory.0);
+        let mut exchange_conn = match (exchange.take(), last_conn.take()) {
             (Some(exchange), _) => exchange.accept(),
-            (None, Some(mut lines)) => {
-                lines.accept_next();
-                lines
+            (None, Some(mut last_conn)) => {
+                last_conn.accept_next();
+                last_conn
             }
             (None, None) => unreachable!("one of them is set"),
         };
@@ -445,7 +450,7 @@
         if let Some(invalid_peer) = invalid_peer {
             invalid_peer.join().expect("thread without a panic");
         }
-        lines = Some(exchange_conn);
+        last_conn = Some(exchange_conn);
         drop(program);
     }
 }
