--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -106,9 +106,9 @@
         stream
             .write_all(b"{\"kind\":\"check\",\"uid\":\"0000000000000001\",\"meta\":{},\"reason\":0}\n")
             .expect("send a message");
-        let mut answer = String::new();
-        BufReader::new(stream).read_line(&mut answer).expect("next line");
-        assert_eq!(answer, "{\"kind\":\"checked\",\"uid\":\"0000000000000001\",\"meta\":{},\"reason\":1}\n");
+        let mut reply = String::new();
+        BufReader::new(stream).read_line(&mut reply).expect("next line");
+        assert_eq!(reply, "{\"kind\":\"checked\",\"uid\":\"0000000000000001\",\"meta\":{},\"reason\":1}\n");
     };
     check_health();
     let id = child.0.id().to_string();
@@ -165,9 +165,9 @@
     stream
         .write_all(b"{\"kind\":\"check\",\"uid\":\"0000000000000001\",\"meta\":{},\"reason\":0}\n")
         .expect("send a message");
-    let mut answer = String::new();
-    BufReader::new(stream).read_line(&mut answer).expect("next line");
-    assert!(answer.contains("\"checked\""), "{answer}");
+    let mut reply = String::new();
+    BufReader::new(stream).read_line(&mut reply).expect("next line");
+    assert!(reply.contains("\"checked\""), "{reply}");
     assert!(Command::new("kill").args(["-KILL", &id]).status().expect("run kill").success());
     child.0.wait().expect("wait for the process");
     std::fs::remove_file(&file).expect("remove the file");
