--- a/crates/console/src/model.rs
+++ b/crates/console/src/model.rs
@@ -45,7 +45,7 @@
     pub at_us: u64,
     /// Time since the start of its process.
     pub uptime: Duration,
-    /// Whether it is draining and refuses new calls.
+    /// Whether it refuses new calls because it is draining or stopping.
     pub draining: bool,
     /// Number of calls that wait for an answer.
     pub waiting_calls: u32,
@@ -180,17 +180,17 @@
     error: Option<String>,
 }
 
-/// Whether a softswitch answers.
+/// Whether a softswitch replies to polls. In a playback, a snapshot counts as a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SoftswitchState {
-    /// It answers.
+    /// It replies.
     Live,
-    /// It answers, and it is draining.
+    /// It replies, and it is draining or stopping.
     Draining,
-    /// It no longer answers; what is shown of it is out of date.
+    /// It no longer replies; what is shown of it is out of date.
     Silent,
-    /// It has never answered.
-    NeverAnswered,
+    /// It has never replied.
+    NeverReplied,
 }
 
 /// A row of the table of softswitches.
@@ -198,7 +198,7 @@
 pub struct SoftswitchRow {
     /// Name of the softswitch, or its address until the name is known.
     pub name: String,
-    /// Whether it answers.
+    /// Whether it replies.
     pub state: SoftswitchState,
     /// Age of its latest snapshot; `None` without one.
     pub age: Option<Duration>,
@@ -212,7 +212,7 @@
     pub error: Option<String>,
 }
 
-/// A row of the table of nodes: an exchange as seen by all softswitches that answer.
+/// A row of the table of nodes: an exchange as seen by all softswitches that reply.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeRow {
     /// Number of the exchange.
@@ -236,7 +236,8 @@
 }
 
 impl NodeRow {
-    /// State of the node as shown on the screen; if several apply, the worst.
+    /// State of the node as shown on the screen; if several apply, the first of `gone`, `DOWN`, `partly`, `drains` and
+    /// `slow`. [`SortOrder::Severity`] ranks `DOWN` above `gone` and `slow` above `drains`.
     pub fn state(&self) -> &'static str {
         match (self.readiness.as_str(), self.connections, self.avoided_by) {
             ("gone", ..) => "gone",
@@ -248,7 +249,7 @@
         }
     }
 
-    /// Rank of the state, from 0 for `ok` to the worst.
+    /// Rank of the state, from 0 for `ok` to the worst, `DOWN`.
     fn severity(&self) -> u8 {
         ["ok", "drains", "slow", "partly", "gone", "DOWN"]
             .iter()
@@ -295,7 +296,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Model {
     sources: Vec<Source>,
-    /// Current time by the console's clock, or by the time of a playback.
+    /// Current time since the start of the console, or since the first record in a playback.
     pub now: Duration,
     /// Sort order of the nodes.
     pub sort_order: SortOrder,
@@ -335,7 +336,7 @@
 
     fn state(&self, source: &Source) -> SoftswitchState {
         match &source.latest {
-            None => SoftswitchState::NeverAnswered,
+            None => SoftswitchState::NeverReplied,
             Some((at, _)) if self.now.saturating_sub(*at) >= SILENT_AFTER => SoftswitchState::Silent,
             Some((_, snapshot)) if snapshot.draining => SoftswitchState::Draining,
             Some(_) => SoftswitchState::Live,
--- a/crates/console/src/view.rs
+++ b/crates/console/src/view.rs
@@ -85,7 +85,7 @@
             SoftswitchState::Live => ("live", Style::new()),
             SoftswitchState::Draining => ("drains", Style::new().fg(Color::Yellow)),
             SoftswitchState::Silent => ("SILENT", Style::new().fg(Color::Red)),
-            SoftswitchState::NeverAnswered => ("no word", Style::new().fg(Color::Red)),
+            SoftswitchState::NeverReplied => ("no word", Style::new().fg(Color::Red)),
         };
         let rate = |select: fn((f64, f64, f64)) -> f64| {
             row.rates.map_or("-".to_owned(), |rates| format!("{:.1}", select(rates)))
--- a/crates/console/tests/console.rs
+++ b/crates/console/tests/console.rs
@@ -54,7 +54,7 @@
     snapshot
 }
 
-/// A model with two softswitches that answered twice, one second apart, and one that never answered.
+/// A model with two softswitches that replied twice, one second apart, and one that never replied.
 fn sample_model() -> Model {
     let mut model = Model::new(["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"].map(str::to_owned));
     for second in 1..=2 {
@@ -72,12 +72,12 @@
     let rows = model.softswitches();
     assert_eq!(
         rows.iter().map(|row| row.state).collect::<Vec<_>>(),
-        [SoftswitchState::Live, SoftswitchState::Live, SoftswitchState::NeverAnswered]
+        [SoftswitchState::Live, SoftswitchState::Live, SoftswitchState::NeverReplied]
     );
     assert_eq!((rows[0].rates, rows[1].rates), (Some((100.0, 0.0, 0.0)), Some((50.0, 0.0, 0.0))));
     assert_eq!(rows[0].top_refusal, Some(("shed".to_owned(), 0.9)));
     assert_eq!((rows[2].name.as_str(), rows[2].error.as_deref()), ("10.0.0.3:1", Some("connection refused")));
-    // The first softswitch stops answering: its snapshot ages, then it is shown as silent and no longer counts for the
+    // The first softswitch stops replying: its snapshot ages, then it is shown as silent and no longer counts for the
     // nodes.
     let nodes_before = model.nodes();
     for second in 3..=6 {
