--- a/src/iax2/element.rs
+++ b/src/iax2/element.rs
@@ -16,6 +16,18 @@
 const IAX_UNKNOWN: u8 = 0x17;
 const CAUSE_CODE: u8 = 0x2a;
 
+// Q.850 causes.
+pub(super) const Q850_UNALLOCATED_NUMBER: u8 = 1;
+pub(super) const Q850_NORMAL_CLEARING: u8 = 16;
+pub(super) const Q850_USER_BUSY: u8 = 17;
+pub(super) const Q850_CALL_REJECTED: u8 = 21;
+pub(super) const Q850_NO_CIRCUIT: u8 = 34;
+pub(super) const Q850_TEMPORARY_FAILURE: u8 = 41;
+pub(super) const Q850_SWITCHING_EQUIPMENT_CONGESTION: u8 = 42;
+pub(super) const Q850_INVALID_MESSAGE: u8 = 95;
+pub(super) const Q850_RECOVERY_ON_TIMER_EXPIRY: u8 = 102;
+pub(super) const Q850_PROTOCOL_ERROR: u8 = 111;
+
 /// Protocol version of IAX2.
 pub const PROTOCOL_VERSION: u16 = 2;
 /// Media formats G.711 mu-law and A-law; used where the other party specifies none.
@@ -45,10 +57,11 @@
 }
 
 impl InformationElements {
-    /// Decodes the payload of an IAX control frame. An element with an invalid length is ignored.
+    /// Decodes the payload of an IAX control frame. An element whose value has the wrong length or is not valid
+    /// UTF-8 counts as absent.
     ///
     /// # Errors
-    /// If an element extends past the end.
+    /// If an element extends past the end of the payload.
     pub fn decode(mut bytes: &[u8]) -> Result<Self, FrameError> {
         let mut elements = Self::default();
         while let [id, rest @ ..] = bytes {
@@ -75,7 +88,8 @@
         Ok(elements)
     }
 
-    /// Encodes the elements. The version comes first, as RFC 5456 requires for NEW.
+    /// Encodes the elements. The version comes first, as RFC 5456 requires for NEW. A value is truncated to 255 bytes,
+    /// the maximum that an element can hold.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
         let mut put = |id: u8, value: Option<&[u8]>| {
@@ -109,18 +123,25 @@
 pub fn cause_elements(message: &CallerMessage) -> InformationElements {
     match message {
         CallerMessage::Refused { retry_after } if retry_after.is_zero() => {
-            InformationElements::with_cause(34, "no circuit")
+            InformationElements::with_cause(Q850_NO_CIRCUIT, "no circuit")
         }
         CallerMessage::Refused { retry_after } => InformationElements::with_cause(
-            34,
+            Q850_NO_CIRCUIT,
             format!("{RETRY_AFTER_PREFIX}{:.0} ms", duration_to_ms(*retry_after)),
         ),
-        CallerMessage::Failed { busy: true } => InformationElements::with_cause(17, "user busy"),
-        CallerMessage::Failed { busy: false } => InformationElements::with_cause(41, "temporary failure"),
-        CallerMessage::Released { cut: true } => InformationElements::with_cause(41, "call cut"),
+        CallerMessage::Failed { busy: true } => InformationElements::with_cause(Q850_USER_BUSY, "user busy"),
+        CallerMessage::Failed { busy: false } => {
+            InformationElements::with_cause(Q850_TEMPORARY_FAILURE, "temporary failure")
+        }
+        CallerMessage::Released { cut: true } => {
+            InformationElements::with_cause(Q850_TEMPORARY_FAILURE, "call cut")
+        }
+        // Answered and HealthCheckResult do not end a leg; the endpoint does not pass them here.
         CallerMessage::Released { cut: false }
         | CallerMessage::Answered { .. }
-        | CallerMessage::HealthCheckResult { .. } => InformationElements::with_cause(16, "normal clearing"),
+        | CallerMessage::HealthCheckResult { .. } => {
+            InformationElements::with_cause(Q850_NORMAL_CLEARING, "normal clearing")
+        }
     }
 }
 
@@ -131,20 +152,22 @@
     digits.parse().ok().map(Duration::from_millis)
 }
 
-/// Outcome and reason of a call that an exchange ends with these elements. Q.850 causes mean the same as in JSON
-/// lines; a missing cause means normal clearing.
+/// Outcome and reason of a call that an exchange ends with these elements. Q.850 causes give the same outcome as in
+/// JSON lines, except that 0 or a missing cause means normal clearing, and 42 means that the processor is full.
 pub fn outcome_of(elements: &InformationElements) -> (Outcome, Reason) {
     let retry_after = elements.cause.as_deref().and_then(parse_retry_after);
-    match elements.cause_code.unwrap_or(16) {
-        0 | 16 => (Outcome::Completed, Reason::Unspecified),
-        17 => (Outcome::Busy, Reason::UserBusy),
-        34 => (
+    match elements.cause_code.unwrap_or(Q850_NORMAL_CLEARING) {
+        0 | Q850_NORMAL_CLEARING => (Outcome::Completed, Reason::Unspecified),
+        Q850_USER_BUSY => (Outcome::Busy, Reason::UserBusy),
+        Q850_NO_CIRCUIT => (
             Outcome::Congested,
             retry_after.map_or(Reason::NoCircuit, |time| Reason::ProcessorFull(duration_to_ms(time))),
         ),
-        42 => (Outcome::Congested, Reason::ProcessorFull(duration_to_ms(retry_after.unwrap_or_default()))),
-        41 => (Outcome::Reset, Reason::Unspecified),
-        102 => (Outcome::NotSent, Reason::Unspecified),
+        Q850_SWITCHING_EQUIPMENT_CONGESTION => {
+            (Outcome::Congested, Reason::ProcessorFull(duration_to_ms(retry_after.unwrap_or_default())))
+        }
+        Q850_TEMPORARY_FAILURE => (Outcome::Reset, Reason::Unspecified),
+        Q850_RECOVERY_ON_TIMER_EXPIRY => (Outcome::NotSent, Reason::Unspecified),
         _ => (Outcome::Busy, Reason::Unspecified),
     }
 }
--- a/src/iax2/mod.rs
+++ b/src/iax2/mod.rs
@@ -11,7 +11,11 @@
 use crate::config::{ConfigError, JsonNode, parse_json};
 use crate::engine::{CallUid, CallerConnId, CallerMessage, ExchangeConnId, ExchangeMessage, Input, SetUp};
 use crate::interface::{Number, Outcome, Reason};
-use element::{G711_FORMATS, InformationElements, PROTOCOL_VERSION, cause_elements, outcome_of};
+use element::{
+    G711_FORMATS, InformationElements, PROTOCOL_VERSION, Q850_CALL_REJECTED, Q850_INVALID_MESSAGE,
+    Q850_NO_CIRCUIT, Q850_NORMAL_CLEARING, Q850_PROTOCOL_ERROR, Q850_SWITCHING_EQUIPMENT_CONGESTION,
+    Q850_TEMPORARY_FAILURE, Q850_UNALLOCATED_NUMBER, Q850_USER_BUSY, cause_elements, outcome_of,
+};
 use frame::{Frame, FrameType, FullFrame, MiniFrame, control, iax};
 use leg::{Leg, Received, VoiceFrame};
 
@@ -19,17 +23,19 @@
 pub mod frame;
 pub mod leg;
 
-/// Interval between two transmissions of an unanswered POKE.
+/// Interval at which a POKE is retransmitted until its PONG arrives.
 const POKE_RETRANSMIT_INTERVAL: Duration = Duration::from_millis(150);
-/// Time after the end of a call during which a NEW with its call number and timestamp counts as a duplicate.
+/// Time after a NEW during which another one with the same call number and timestamp counts as a duplicate. It starts
+/// again when the leg is removed, if that happens within this time.
 const DUPLICATE_NEW_WINDOW: Duration = Duration::from_secs(5);
-/// Maximum number of open calls from callers. It bounds the memory, which the platform limits.
+/// Maximum number of calls from callers, including those whose leg is closing. It bounds memory use, since the memory
+/// of the process is limited.
 const MAX_CALLER_LEGS: usize = 4_096;
 /// Maximum number of legs toward callers and exchanges, including closing legs.
 const MAX_LEGS: usize = 3 * MAX_CALLER_LEGS;
 /// Call numbers have 15 bits.
 const MAX_CALL_NUMBER: u16 = 0x7fff;
-/// Source call number of the PONG that answers a POKE; reserved, so that no leg has it.
+/// Source call number of a PONG in reply to a POKE; reserved, so that no leg has it.
 const POKE_CALL_NUMBER: u16 = 1;
 
 /// Configuration of IAX2 (`iax2.json`).
@@ -212,7 +218,7 @@
         legs.chain(self.pending_pokes.values().map(|poke| poke.retransmit_at.min(poke.expires_at))).min()
     }
 
-    /// Handles expired timers: retransmissions, pings, unanswered POKEs and unresponsive peers.
+    /// Handles expired timers: retransmissions, pings, POKEs without a PONG, and unresponsive peers.
     pub fn handle_timeout(&mut self, now: SystemTime, out: &mut Output) {
         let due = |entry: &LegEntry| {
             entry.leg.next_timeout(entry.state == State::Closing).is_some_and(|at| at <= now)
@@ -256,6 +262,7 @@
         Some(result)
     }
 
+    /// The next free local call number; `None` if all are in use.
     fn allocate_call_number(&mut self) -> Option<u16> {
         (0..MAX_CALL_NUMBER).find_map(|_| {
             let next = self.last_call_number % MAX_CALL_NUMBER + 1;
@@ -297,7 +304,11 @@
             return;
         }
         out.inputs.push(match entry.role {
-            Role::Caller => Input::HangUp { caller_conn: self.caller_conn, call: entry.call, cause: 41 },
+            Role::Caller => Input::HangUp {
+                caller_conn: self.caller_conn,
+                call: entry.call,
+                cause: Q850_TEMPORARY_FAILURE,
+            },
             Role::Exchange(exchange_conn) => {
                 let (outcome, reason) = (Outcome::Reset, Reason::Unspecified);
                 Input::Ended { exchange_conn, call: entry.call, outcome, reason }
@@ -449,12 +460,17 @@
         let context = requested.called_context.as_deref().unwrap_or_default();
         let route = self.config.route(context, &called).map(|(class, to)| (class.to_owned(), to));
         let route = match (&elements, route) {
-            _ if at_capacity => Err(InformationElements::with_cause(42, "too many calls")),
-            (Err(_), _) => Err(InformationElements::with_cause(95, "malformed set-up")),
+            _ if at_capacity => {
+                Err(InformationElements::with_cause(Q850_SWITCHING_EQUIPMENT_CONGESTION, "too many calls"))
+            }
+            (Err(_), _) => Err(InformationElements::with_cause(Q850_INVALID_MESSAGE, "malformed set-up")),
             (Ok(e), _) if e.version != Some(PROTOCOL_VERSION) => {
-                Err(InformationElements::with_cause(111, "version 2 is spoken here"))
+                Err(InformationElements::with_cause(Q850_PROTOCOL_ERROR, "version 2 is spoken here"))
             }
-            (_, None) => Err(InformationElements::with_cause(1, "no such number in this context")),
+            (_, None) => Err(InformationElements::with_cause(
+                Q850_UNALLOCATED_NUMBER,
+                "no such number in this context",
+            )),
             (_, Some(route)) => Ok(route),
         };
         match route {
@@ -499,7 +515,7 @@
                 let (outcome, reason) = outcome_of(&elements);
                 out.inputs.push(match role {
                     Role::Caller => {
-                        let cause = elements.cause_code.unwrap_or(16);
+                        let cause = elements.cause_code.unwrap_or(Q850_NORMAL_CLEARING);
                         Input::HangUp { caller_conn: self.caller_conn, call, cause }
                     }
                     Role::Exchange(exchange_conn) => Input::Ended { exchange_conn, call, outcome, reason },
@@ -525,7 +541,7 @@
                     call_number,
                     now,
                     iax::HANGUP,
-                    &InformationElements::with_cause(21, "no credentials"),
+                    &InformationElements::with_cause(Q850_CALL_REJECTED, "no credentials"),
                     out,
                 );
                 let (outcome, reason) = (Outcome::Busy, Reason::Unspecified);
@@ -540,13 +556,13 @@
             (FrameType::Control, control::BUSY | control::CONGESTION, Role::Exchange(exchange_conn))
                 if state == State::Early =>
             {
-                let code = if frame.subclass == control::BUSY { 17 } else { 34 };
+                let code = if frame.subclass == control::BUSY { Q850_USER_BUSY } else { Q850_NO_CIRCUIT };
                 let elements = InformationElements::with_cause(code, "");
                 self.end_leg(call_number, now, iax::HANGUP, &elements, out);
                 let (outcome, reason) = outcome_of(&elements);
                 out.inputs.push(Input::Ended { exchange_conn, call, outcome, reason });
             }
-            // Not answered with UNSUPPORT, or two endpoints could exchange UNSUPPORTs for ever.
+            // Gets no UNSUPPORT in reply, or two endpoints could exchange UNSUPPORTs for ever.
             (FrameType::Iax, iax::UNSUPPORT, _) => {}
             (FrameType::Iax, subclass, _) => {
                 let unknown = Some(subclass as u8);
@@ -690,11 +706,13 @@
                     entry.leg.send(now, FrameType::Iax, iax::NEW, elements.encode(), datagrams);
                 });
             }
-            ExchangeMessage::Cancel => self.end_exchange_leg(now, exchange_conn, call, 16, out),
+            ExchangeMessage::Cancel => {
+                self.end_exchange_leg(now, exchange_conn, call, Q850_NORMAL_CLEARING, out)
+            }
             ExchangeMessage::Release { cause } => {
                 self.end_exchange_leg(now, exchange_conn, call, *cause, out)
             }
-            // IAX2 has no message that reports free circuits; a POKE at connect time is the only test.
+            // IAX2 has no message that reports free circuits; the POKE at connect time is the only probe.
             ExchangeMessage::Probe => {}
         }
     }
@@ -776,7 +794,8 @@
     elements.format.filter(|format| *format != 0).unwrap_or(capability & capability.wrapping_neg())
 }
 
-/// Session description with the negotiated media formats. The engine passes it on unchanged.
+/// Session description with the supported media formats and the requested or selected one. The engine passes it on
+/// unchanged.
 fn format_description(capability: u32, format: u32) -> String {
     format!("a=iax2-capability:{capability:08x}\r\na=iax2-format:{format:08x}\r\n")
 }
