--- a/src/iax2/frame.rs
+++ b/src/iax2/frame.rs
@@ -173,7 +173,8 @@
 /// Highest bit of a call number field: the F bit (full frame) for the source, the R bit (retransmission) for the
 /// destination.
 const HIGH_BIT: u16 = 0x8000;
-/// The C bit of a subclass byte: the subclass is two to the power of the other bits.
+/// The C bit of a subclass byte: the subclass is two to the power of the other bits. If that does not fit
+/// in 32 bits, it is decoded as 0.
 const POWER_OF_TWO: u8 = 0x80;
 
 /// Decodes a datagram.
@@ -233,6 +234,7 @@
     }
 }
 
+/// Encodes a subclass. One above 127 must be a power of two.
 fn subclass_byte(subclass: u32) -> u8 {
     match u8::try_from(subclass) {
         Ok(byte) if byte & POWER_OF_TWO == 0 => byte,
