--- a/src/iax2/leg.rs
+++ b/src/iax2/leg.rs
@@ -62,11 +62,13 @@
     unacked: VecDeque<Unacked>,
     ping_at: SystemTime,
     last_timestamp: u32,
-    /// Highest timestamp and format of the voice received.
+    /// Reference for the timestamps of mini frames, and media format of the voice received. The reference is the
+    /// timestamp of the last full voice frame, or the highest of the mini frames after it.
     received_voice: Option<(u32, u32)>,
     /// Upper half of the timestamp and format of the last full voice frame sent.
     sent_voice: Option<(u32, u32)>,
-    /// Difference between timestamps on this leg and on the leg that voice is relayed from, in ms.
+    /// Difference between timestamps on this leg and on the leg that voice is relayed from, in ms; set by the
+    /// first voice that is relayed.
     voice_offset: Option<i64>,
 }
 
@@ -173,7 +175,8 @@
         }
         match frame.oseqno.wrapping_sub(self.iseqno) {
             0 => self.iseqno = self.iseqno.wrapping_add(1),
-            // A duplicate: the acknowledgement of the first one was lost.
+            // A frame before the expected one, as sequence numbers wrap around: a duplicate. The acknowledgement of
+            // the first one may have been lost.
             128.. => {
                 self.send_unsequenced(iax::ACK, frame.timestamp, out);
                 return Received::Handled;
