--- a/src/load/har.rs
+++ b/src/load/har.rs
@@ -9,6 +9,8 @@
 
 /// Maximum nesting depth of a HAR file. Browsers write the call stack of each request as nested objects.
 const MAX_NESTING: usize = 400;
+/// Longer durations of requests are capped at this, so that `Duration::from_secs_f64` cannot panic.
+const MAX_ELAPSED_MS: f64 = 1e9;
 
 /// Parses a HAR file. Entries without a valid time or URL are counted as skipped.
 ///
@@ -37,7 +39,7 @@
     Some(RecordedCall {
         at: started.into(),
         path: path_of(&entry.get("request").ok()?.text("url").ok()?),
-        elapsed: elapsed.map(|ms| Duration::from_secs_f64(ms.min(1e9) / 1_000.0)),
+        elapsed: elapsed.map(|ms| Duration::from_secs_f64(ms.min(MAX_ELAPSED_MS) / 1_000.0)),
         // Status 0 means that the request got no response.
         served: (1.0..400.0).contains(&status),
     })
