--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -102,6 +102,7 @@
         self.calls.iter().enumerate().map(|(index, call)| {
             let hash = fnv1a(&call.path);
             let dest = options.dest.unwrap_or_else(|| (hash % u64::from(options.exchanges.max(1))) as u32);
+            // The calls of one path differ by their index.
             let uid = CallUid::from_u64(hash.rotate_left(32) ^ (index as u64 + 1));
             let called_number = format!("{hash:016x}");
             (self.offset(call), format_set_up(uid, &options.class, options.remaining, &called_number, dest))
