--- a/crates/record/src/event.rs
+++ b/crates/record/src/event.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Id of a call: the platform's 16 hexadecimal digits as a number.
+/// Id of a call: its 16 hexadecimal digits as a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallUid(#[serde(with = "postcard::fixint::le")] pub u64);
 
@@ -32,7 +32,7 @@
     },
     /// Names of the classes of call, by index.
     Classes(Vec<String>),
-    /// The process received the order to stop.
+    /// The process was requested to stop.
     Stopping,
     /// The process ends normally.
     Stopped,
@@ -46,31 +46,31 @@
         dest: u32,
         /// For a call in transit, the exchange that it comes from; `u32::MAX` where that is not given.
         transit_from: Option<u32>,
-        /// How long its caller waits, in ms.
+        /// How long its caller still waits, in ms.
         remaining_ms: u32,
         /// Whether the call was established before, was cut and is set up again.
         was_cut: bool,
         /// The front that it arrived by.
         front: Front,
     },
-    /// The call was sent to an exchange.
+    /// An attempt began: the call was sent to an exchange, or waits for a connection to it.
     Attempt {
         /// The call.
         call: CallUid,
         /// Number of the attempt, from 1.
         attempt: u8,
-        /// Exchange that it was sent to.
+        /// Exchange that is attempted.
         exchange: u32,
         /// Whether the set-up waits for a connection to open.
         awaits_connection: bool,
     },
-    /// An attempt ended without establishing the call.
+    /// An attempt ended without an answer that reached this softswitch.
     AttemptEnded {
         /// The call.
         call: CallUid,
         /// Number of the attempt, from 1.
         attempt: u8,
-        /// Exchange that it was sent to.
+        /// Exchange that was attempted.
         exchange: u32,
         /// How it ended.
         outcome: AttemptOutcome,
@@ -122,7 +122,7 @@
     },
     /// A new list of exchanges takes effect.
     List {
-        /// Number of the last event in it.
+        /// Its serial: the number of the last event in it.
         serial: u32,
         /// Number of exchanges in it.
         exchanges: u32,
@@ -179,7 +179,7 @@
     ExpectedDelay {
         /// The exchange.
         exchange: u32,
-        /// Expected time until an answer, in ms.
+        /// Expected set-up time, in ms.
         expected_ms: u32,
         /// Attempts to it that are open now.
         open_attempts: u32,
@@ -200,14 +200,14 @@
     Iax2,
 }
 
-/// How an attempt ended that did not establish the call.
+/// How an attempt ended if no answer to it reached this softswitch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum AttemptOutcome {
     /// All lines of the number are busy, or a signalling fault.
     Busy,
     /// Cranked back or no capacity.
     Congested,
-    /// No answer in time.
+    /// No reply in time.
     TimedOut,
     /// No connection to the exchange could be opened.
     NoConnection,
@@ -241,9 +241,10 @@
 /// Why a call was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RefusalReason {
-    /// Before any attempt: too few free circuits known toward its exchange, and no tandem chosen.
+    /// Before any attempt: too few circuits toward its exchange were known to be free, and no tandem was chosen.
     NoCircuit,
-    /// Before any attempt, although circuits were free: its exchange is avoided or too slow, or the softswitch sheds.
+    /// Before any attempt, although circuits were free: its exchange is avoided or too slow, or this softswitch
+    /// sheds calls.
     Shed,
     /// After an attempt with this outcome and reason.
     AfterAttempt(AttemptOutcome, AttemptReason),
@@ -282,7 +283,7 @@
     NoRoute,
     /// The decision module failed it after an attempt with this outcome and reason.
     AfterAttempt(AttemptOutcome, AttemptReason),
-    /// The decision module gave no answer in time, so the engine failed the call.
+    /// The decision module was late with the final outcome, so the engine failed the call.
     DecisionOverdue,
     /// Data on its caller connection could not be read.
     CallerStreamCorrupt,
@@ -328,7 +329,7 @@
 pub enum DrainSource {
     /// An operator.
     Operator,
-    /// The platform, by signal.
+    /// A signal to the process. This version records [`Event::Stopping`] instead.
     Signal,
 }
 
