--- a/crates/record/src/merge.rs
+++ b/crates/record/src/merge.rs
@@ -56,12 +56,15 @@
     softswitch: usize,
     files: VecDeque<PathBuf>,
     reader: Option<FileReader<BufReader<File>>>,
+    /// Entries that were read and are not returned yet, with their local times.
     buffered: VecDeque<(u64, EntryContent)>,
     time_range_us: (u64, u64),
     last_us: u64,
     /// Context blocks are used from the first file only: those of later files repeat events that were already read.
     in_first_file: bool,
+    /// Whether the last record that was read is [`Event::Stopped`].
     stopped: bool,
+    /// Whether all files have been read.
     ended: bool,
 }
 
@@ -138,6 +141,7 @@
     pending: BinaryHeap<Reverse<(u64, usize)>>,
     /// The next entry of each run, with its local time and its corrected time.
     next_entries: Vec<Option<(u64, u64, EntryContent)>>,
+    /// Corrected time of each cause that is in the timeline.
     causes: HashMap<Cause, u64>,
     causes_by_time: BTreeMap<u64, Vec<Cause>>,
     last_us: u64,
@@ -224,7 +228,8 @@
         &self.clock_offsets
     }
 
-    /// Errors of files that could not be read although their headers were valid.
+    /// Errors of files that could not be opened again after [`Archive::open`] had read their headers. An error while a
+    /// file is read only ends that file and is not reported.
     pub fn file_errors(&self) -> &[FileError] {
         &self.file_errors
     }
