--- a/crates/record/src/clocks.rs
+++ b/crates/record/src/clocks.rs
@@ -193,7 +193,7 @@
 /// The tightest bounds of each pair of clocks, by time window.
 #[derive(Clone, Debug, Default)]
 pub struct Bounds {
-    /// By number of the window, then by the earlier and the later softswitch of a [`Bound`].
+    /// By number of the window, then by `from` and `to` of a [`Bound`].
     windows: BTreeMap<u64, HashMap<(usize, usize), i64>>,
 }
 
@@ -257,8 +257,8 @@
     }
 }
 
-/// Upper bounds of all clock differences in one window: `m[i][j]` is the maximum by which clock `j` can be ahead of clock
-/// `i`.
+/// Upper bounds of all clock differences in one window: `m[i][j]` is the maximum by which clock `j` can be ahead of
+/// clock `i`.
 #[derive(Clone, Debug)]
 struct BoundMatrix {
     clock_count: usize,
