--- a/crates/record/src/format.rs
+++ b/crates/record/src/format.rs
@@ -32,7 +32,7 @@
 pub(crate) const MAX_BODY_BYTES: usize = 1 << 20;
 /// Decompressed size at which a block is complete and is written.
 pub(crate) const FULL_BLOCK_BYTES: usize = 64 << 10;
-/// Higher levels save less than 4 % of the size and take twice the time.
+/// Level of zstd. Higher levels save less than 4 % of the size and take twice the time.
 const COMPRESSION_LEVEL: i32 = 3;
 
 /// Error in the format of a record file.
