--- a/crates/record/src/recorder.rs
+++ b/crates/record/src/recorder.rs
@@ -55,7 +55,7 @@
 /// Why recording cannot start or has stopped.
 #[derive(Debug, Error)]
 pub enum RecorderError {
-    /// The directory or a file in it failed.
+    /// An operation on the directory or on a file in it failed.
     #[error("records in {}: {error}", directory.display())]
     Storage {
         /// The directory.
@@ -124,7 +124,7 @@
 /// Request to stop: the number of lost records that is not yet recorded, and the time of the last record.
 type StopRequest = (u64, u64);
 
-/// Hands records over to the writer thread and never blocks.
+/// Hands records over to the writer thread. [`Recorder::record`] never blocks.
 #[derive(Debug)]
 pub struct Recorder {
     queue: Sender<Record>,
