--- a/crates/record/tests/clocks.rs
+++ b/crates/record/tests/clocks.rs
@@ -145,7 +145,7 @@
         }
         let solved = bounds.solve(6);
         assert_eq!(solved.contradictions, 0);
-        // Drift allowed within one window, in microseconds.
+        // Drift allowed within one window and the rounding of the offsets, in microseconds.
         let slack = 401;
         for Bound { from, to, max_difference_us, .. } in all {
             if let Some((a, b)) = solved.offset(from, START).zip(solved.offset(to, START)) {
@@ -302,7 +302,7 @@
             .collect();
         assert_eq!(ends.len(), 5);
         assert_eq!(
-            ends.iter().filter(|(node, well)| *node == 2 && !well).count(),
+            ends.iter().filter(|(node, clean)| *node == 2 && !clean).count(),
             1,
             "only the killed process did not end cleanly"
         );
