--- a/crates/record/tests/files.rs
+++ b/crates/record/tests/files.rs
@@ -186,8 +186,9 @@
 
 #[test]
 fn events_and_blocks_of_unknown_kinds_are_skipped() {
-    // An independent encoder, written from the description of the format, as reference for the one under test.
+    // An independent encoder, written from the description of the format: `FileWriter` writes known kinds only.
     let known = postcard::to_stdvec(&(0_i64, &Event::Stopping)).expect("writing to memory succeeds");
+    // Relative time 1 as a zigzag varint, then the index of an unknown variant (250 as a varint), then its fields.
     let newer = [&[2_u8, 250, 1][..], &[9; 20]].concat();
     let mut raw = Vec::new();
     for body in [&known, &newer, &known] {
