--- a/crates/record/tests/recorder.rs
+++ b/crates/record/tests/recorder.rs
@@ -16,6 +16,8 @@
 };
 
 const TIMEOUT: Duration = Duration::from_secs(10);
+/// More than the header of a file, so that the recorder can start while the gate of a [`TestStorage`] is closed.
+const UNGATED_BYTES: usize = 100;
 
 fn settings(directory: PathBuf) -> RecorderSettings {
     RecorderSettings { directory, ..RecorderSettings::default() }
@@ -44,8 +46,8 @@
     (all, contexts)
 }
 
-/// Storage in memory. Writes after the file header block until the sender of `gate` is dropped, and fail once
-/// `capacity_bytes` is reached.
+/// Storage in memory. Writes to a file of more than [`UNGATED_BYTES`] block until the sender of `gate` is dropped.
+/// Writes fail if the files would exceed `capacity_bytes`.
 #[derive(Clone)]
 struct TestStorage {
     files: Arc<Mutex<Vec<Vec<u8>>>>,
@@ -58,8 +60,8 @@
 impl Write for TestFile {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let mut files = self.0.files.lock().expect("the lock is not poisoned");
-        let header_written = files[self.1].len() > 100;
-        if let Some(gate) = self.0.gate.as_ref().filter(|_| header_written) {
+        let is_gated = files[self.1].len() > UNGATED_BYTES;
+        if let Some(gate) = self.0.gate.as_ref().filter(|_| is_gated) {
             drop(files);
             let _ = gate.recv();
             files = self.0.files.lock().expect("the lock is not poisoned");
@@ -133,7 +135,8 @@
         })
         .expect("the recorder starts");
     let written = random_records(50_000, 12);
-    // No block is written while the gate blocks writes. If `record` waited for the storage, this loop would never end.
+    // At most one block is written while the gate blocks writes. If `record` waited for the storage, this loop would
+    // never end.
     written.iter().for_each(|record| recorder.record(record.clone()));
     drop(gate_holder);
     assert!(recorder.stop(TIMEOUT));
