--- a/tests/legs.rs
+++ b/tests/legs.rs
@@ -49,6 +49,7 @@
         let mut out = Output::default();
         action(&mut self.endpoints[side], self.now, &mut out);
         for (_, bytes) in out.datagrams {
+            // One in ten of the datagrams that are not lost is duplicated.
             let copies = if self.rng.next_u32() % 100 < self.loss_percent {
                 0
             } else {
@@ -219,8 +220,11 @@
     // PONG and LAGRP carry the timestamp of the request.
     for (oseqno, request, reply) in [(1, iax::PING, iax::PONG), (2, iax::LAGRQ, iax::LAGRP)] {
         let (received, sent) = receive(frame(oseqno, request, vec![]));
-        let answer = single_frame(&sent[1..]);
-        assert_eq!((received, answer.is_iax(reply), answer.timestamp), (Received::Handled, true, 77));
+        let reply_frame = single_frame(&sent[1..]);
+        assert_eq!(
+            (received, reply_frame.is_iax(reply), reply_frame.timestamp),
+            (Received::Handled, true, 77)
+        );
     }
     assert_eq!(receive(frame(3, iax::INVAL, vec![])).0, Received::UnknownCall);
 }
@@ -251,7 +255,7 @@
 }
 
 #[test]
-fn unsupport_is_not_answered_and_any_frame_may_acknowledge_the_final_message() {
+fn unsupport_gets_no_reply_and_any_frame_may_acknowledge_the_final_message() {
     let mut pair = EndpointPair::new(1, 0);
     let payload = vec![0x0b, 2, 0, 2, 1, 1, b'1', 5, 6, b's', b't', b'a', b't', b'u', b's'];
     let new = FullFrame { source_call: 9, dest_call: 0, ..frame(0, iax::NEW, payload) };
