--- a/tests/records.rs
+++ b/tests/records.rs
@@ -329,9 +329,9 @@
             );
             // Line and newline in one write: a second write would wait for the acknowledgement of the first.
             stream.write_all(format!("{line}\n").as_bytes()).expect("the line is written");
-            let mut answer = String::new();
-            reader.read_line(&mut answer).expect("an answer");
-            assert!(answer.contains("\"stop\""), "{answer}");
+            let mut reply = String::new();
+            reader.read_line(&mut reply).expect("a reply");
+            assert!(reply.contains("\"stop\""), "{reply}");
         }
     }
 
@@ -389,7 +389,7 @@
 fn a_program_that_is_killed_has_recorded_all_but_the_last_half_second() {
     let mut program = Program::start("record-kill");
     program.place_calls(1..21);
-    // The writer runs in the background: the records can be read while the program runs.
+    // The writer thread writes them in the background: the records can be read while the program runs.
     let deadline = Instant::now() + Duration::from_secs(8);
     let refused =
         |records: &[Record]| records.iter().filter(|r| matches!(r.event, Event::Refused { .. })).count();
