--- a/examples/toy/main.rs
+++ b/examples/toy/main.rs
@@ -1,4 +1,4 @@
-//! Simulated surroundings of one softswitch: two exchanges, which answer every call and end it after two seconds,
+//! Simulated environment of one softswitch: two exchanges, which answer every call and end it after two seconds,
 //! and a caller. See the README in this directory.
 
 use std::error::Error;
