--- a/crates/console/src/screen.rs
+++ b/crates/console/src/screen.rs
@@ -17,7 +17,7 @@
 
 /// Interval between two polls of a softswitch.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// Time that a softswitch has to answer a poll.
+/// Timeout of a poll, for the connect and for each read and write.
 const POLL_TIMEOUT: Duration = Duration::from_millis(900);
 /// Longest wait for a key before the screen is drawn again.
 const REDRAW_INTERVAL: Duration = Duration::from_millis(100);
