--- a/crates/console/src/fetch.rs
+++ b/crates/console/src/fetch.rs
@@ -29,7 +29,7 @@
     let (head, body) = reply.split_once("\r\n\r\n").ok_or("no HTTP")?;
     match head.split(' ').nth(1) {
         Some("200") => Snapshot::parse(body).map_err(|error| error.to_string()),
-        // Names the usual cause: the fleet endpoint is not turned on in the settings of that softswitch.
+        // Names the usual reason: the fleet endpoint is not turned on in the settings of that softswitch.
         Some("404") => Err("fleet is off there".to_owned()),
         Some(status) => Err(format!("status {status}")),
         None => Err("no HTTP".to_owned()),
