--- a/crates/console/src/replay.rs
+++ b/crates/console/src/replay.rs
@@ -20,9 +20,9 @@
     snapshot: Snapshot,
     exchanges: BTreeMap<u32, ExchangeState>,
     last_heard_us: BTreeMap<u32, u64>,
-    /// Ids of the calls that wait for an answer.
+    /// Uids of the calls that wait for an answer.
     waiting_calls: BTreeMap<u64, ()>,
-    /// Established calls: id of the call and number of its exchange.
+    /// Established calls: uid of the call and number of its exchange.
     established_calls: BTreeMap<u64, u32>,
 }
 
@@ -176,7 +176,7 @@
         self.next.is_none()
     }
 
-    /// Advances the playback by this much recorded time.
+    /// Advances the playback by this much recorded time, at most to the last record.
     pub fn advance(&mut self, by: Duration) {
         let until_us = self.now_us.saturating_add(by.as_micros() as u64);
         while let Some(entry) = self.next.take_if(|entry| entry.at_us <= until_us) {
@@ -208,7 +208,8 @@
         self.model.now = now;
     }
 
-    /// Moves to a time since the first record. To move back, the records are played again from the first one.
+    /// Moves to a time since the first record. To move back, the records are played again from the first one into a new
+    /// model, which keeps only the sort order and the filter.
     pub fn seek(&mut self, to: Duration) {
         let (_, now) = self.position();
         if to < now {
