--- a/crates/report/src/series.rs
+++ b/crates/report/src/series.rs
@@ -27,26 +27,27 @@
 pub struct NodeBucket {
     /// Longest set-up time that any softswitch expected there, in ms.
     pub expected_ms: u32,
-    /// Maximum number of open attempts, summed over all softswitches.
+    /// Maximum of the open attempts of all softswitches together.
     pub open_attempts: u32,
-    /// Minimum number of free circuits toward it, summed over the softswitches that recorded it.
+    /// Minimum of the free circuits toward it, summed over softswitches; `None` if none was recorded.
     pub free_circuits: Option<u32>,
 }
 
-/// Time series of all classes and nodes.
+/// Time series of all classes and nodes. One of them may have fewer buckets than [`Self::len`]; the others are empty.
 #[derive(Clone, Debug, Default)]
 pub struct Series {
     /// Beginning of the first bucket, in Unix microseconds.
     pub first_us: u64,
     /// Length of a bucket, in microseconds.
     pub bucket_us: u64,
-    /// Buckets by class, in the order of the report's classes. Calls in transit are not included.
+    /// Buckets by class, in the order of the report's classes. A call in transit is counted at its origin only.
     pub classes: Vec<Vec<ClassBucket>>,
     /// Buckets by number of the exchange.
     pub nodes: BTreeMap<u32, Vec<NodeBucket>>,
     length: usize,
-    /// Last values by exchange and softswitch: open attempts, free circuits.
+    /// Last recorded number of open attempts, by exchange and softswitch.
     open_attempts: BTreeMap<(u32, usize), u32>,
+    /// Last recorded number of free circuits, by exchange and softswitch.
     free_circuits: BTreeMap<(u32, usize), u32>,
 }
 
@@ -72,6 +73,8 @@
         self.length == 0
     }
 
+    /// Index of the bucket for a time, after doubling the bucket length as often as needed. A time before the first
+    /// bucket belongs to the first one.
     fn bucket_index(&mut self, at_us: u64) -> usize {
         if self.length == 0 {
             self.first_us = at_us / INITIAL_BUCKET_US * INITIAL_BUCKET_US;
@@ -106,7 +109,8 @@
         self.length = self.length.div_ceil(2);
     }
 
-    /// Counts a call in the series of its class, unless it is in transit: then its origin counts it.
+    /// Counts a call in the series of its class, in the number that `counter` selects. A call in transit is not counted
+    /// here but at its origin.
     pub(crate) fn count_call(
         &mut self,
         at_us: u64,
