--- a/crates/report/src/page.rs
+++ b/crates/report/src/page.rs
@@ -23,9 +23,13 @@
 dl div{background:#f4f4f2;padding:.5rem .8rem}dt{color:#555;font-size:.85rem}dd{margin:0;font-size:1.25rem}
 ";
 
-/// Converts Unix microseconds to a date and time in UTC, limited to what the type can hold.
+/// Latest time that the page shows, in Unix microseconds: in the year 2112. The largest `u64` values are beyond the
+/// range of `DateTime`, and their conversion would panic.
+const MAX_SHOWN_US: u64 = 1 << 52;
+
+/// Converts Unix microseconds, limited to [`MAX_SHOWN_US`], to a date and time in UTC.
 fn utc(at_us: u64) -> DateTime<Utc> {
-    DateTime::from(UNIX_EPOCH + Duration::from_micros(at_us.min(1 << 52)))
+    DateTime::from(UNIX_EPOCH + Duration::from_micros(at_us.min(MAX_SHOWN_US)))
 }
 
 fn time_of_day(at_us: u64) -> String {
@@ -167,7 +171,8 @@
     }
 }
 
-/// Time ranges of the incidents that a filter selects, in seconds since the first bucket.
+/// Time ranges of the incidents that a filter selects, in seconds since the first bucket. An incident that did not end
+/// lasts until the last event.
 fn bands(report: &Report, filter: impl Fn(&Incident) -> bool) -> Vec<Band> {
     let first_us = report.series.first_us;
     let seconds_from_start = |us: u64| us.saturating_sub(first_us) as f64 / 1e6;
