--- a/crates/report/src/incident/affected_calls.rs
+++ b/crates/report/src/incident/affected_calls.rs
@@ -24,13 +24,13 @@
 #[derive(Clone, Debug, Default)]
 struct OpenCall {
     dest: u32,
-    /// Exchange with an open attempt of the call.
+    /// Exchange of the open attempt, if one is open.
     attempt_at: Option<u32>,
-    /// Exchanges where earlier attempts failed.
+    /// Exchanges where earlier attempts ended without an answer.
     failed_at: Vec<u32>,
 }
 
-/// What an event means for the call that it concerns.
+/// What [`CallTracker::observe`] knows about the call that an event concerns; the default for an event without a call.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct CallUpdate {
     pub(super) call_key: CallKey,
@@ -60,11 +60,12 @@
         Self { home_exchanges: home_exchanges.to_vec(), ..Self::default() }
     }
 
-    /// Home exchange of a softswitch, which is the last one considered for an affected call.
+    /// Home exchange of a softswitch, which comes last among the exchanges of an affected call.
     fn home_exchange(&self, softswitch: usize) -> Option<u32> {
         self.home_exchanges.get(softswitch).copied().flatten()
     }
 
+    /// Updates the open calls with an event and collects the calls that it shows to be affected.
     pub(super) fn observe(&mut self, at_us: u64, softswitch: usize, event: &Event) -> CallUpdate {
         let Some(CallUid(call)) = event.call() else { return CallUpdate::default() };
         let call_key = (softswitch, call);
@@ -88,19 +89,19 @@
                 if let Some(open) = self.open.remove(&call_key) {
                     update.direct = open.dest == *exchange;
                     update.dest = Some(open.dest);
-                    self.record(at_us, softswitch, Impact::Delayed, &open);
+                    self.add_affected(at_us, softswitch, Impact::Delayed, &open);
                 }
             }
             Event::Refused { .. } | Event::Failed { .. } => {
                 if let Some(open) = self.open.remove(&call_key) {
                     (update.attempt_at, update.dest) = (open.attempt_at, Some(open.dest));
-                    self.record(at_us, softswitch, Impact::Lost, &open);
+                    self.add_affected(at_us, softswitch, Impact::Lost, &open);
                 }
             }
             Event::Abandoned { .. } => {
                 if let Some(open) = self.open.remove(&call_key) {
                     (update.attempt_at, update.dest) = (open.attempt_at, Some(open.dest));
-                    self.record(at_us, softswitch, Impact::Abandoned, &open);
+                    self.add_affected(at_us, softswitch, Impact::Abandoned, &open);
                 }
             }
             Event::Released { exchange: Some(exchange), cut: true, .. } => {
@@ -112,7 +113,10 @@
         update
     }
 
-    fn record(&mut self, at_us: u64, softswitch: usize, impact: Impact, open: &OpenCall) {
+    /// Adds an affected call, to be attributed later. Its exchanges are, in this order: that of the open attempt, those
+    /// of earlier attempts, the destination of a lost call, and the home exchange of its softswitch. An established
+    /// call only has those of earlier attempts; without any it was not delayed and is not added.
+    fn add_affected(&mut self, at_us: u64, softswitch: usize, impact: Impact, open: &OpenCall) {
         let attempt_at = open.attempt_at.filter(|_| impact != Impact::Delayed);
         let mut exchanges: Vec<u32> =
             attempt_at.into_iter().chain(open.failed_at.iter().rev().copied()).collect();
