--- a/crates/report/src/incident/list.rs
+++ b/crates/report/src/incident/list.rs
@@ -6,11 +6,11 @@
 
 use super::{AffectedCalls, Incident, IncidentKind};
 
-/// Longest time until the list shows a change that does not count as a lag. The platform's own delay is a part of it.
+/// Longest delay until the list shows a change that does not count as a lag. It includes the platform's own delay.
 const MAX_LIST_DELAY_US: u64 = 4_000_000;
 /// A lag that begins less than this after the end of the last one continues it.
 const MAX_LAG_GAP_US: u64 = 15_000_000;
-/// An entry gives no delay if its change happened this long ago: such a start lies before the records. The limit also
+/// No delay is computed for a change that happened this long ago: such a start lies before the records. The limit also
 /// applies to removals.
 const MAX_CHANGE_AGE_US: u64 = 120_000_000;
 
@@ -99,6 +99,7 @@
         }
     }
 
+    /// Begins a lag, or continues the last one if that has not ended or ended less than `MAX_LAG_GAP_US` before.
     fn begin_lag(&mut self, exchange: u32, since_us: u64) {
         if let Some(last) = self.incidents.last_mut()
             && last.end_us.is_none_or(|end| since_us < end + MAX_LAG_GAP_US)
@@ -119,12 +120,14 @@
         });
     }
 
+    /// Ends the last lag unless it has ended already.
     fn end_lag(&mut self, at_us: u64) {
         if let Some(last) = self.incidents.last_mut() {
             last.end_us.get_or_insert(at_us);
         }
     }
 
+    /// Adds a lag from a change until the list showed it, or extends the last lag as [`Self::begin_lag`] does.
     fn add_late_change(
         &mut self,
         happened_us: u64,
@@ -137,7 +140,7 @@
             && last.end_us.is_none_or(|end| happened_us < end + MAX_LAG_GAP_US)
         {
             last.begin_us = last.begin_us.min(happened_us);
-            // While an exchange is still listed wrongly, a further change of the list must follow.
+            // A lag does not end while the list still shows a dead exchange as ready.
             if self.wrongly_listed.is_empty() || last.end_us.is_some() {
                 last.end_us = last.end_us.max(Some(listed_us));
             }
