--- a/crates/report/src/incident/refusals.rs
+++ b/crates/report/src/incident/refusals.rs
@@ -29,9 +29,9 @@
 pub(super) enum CallOutcome {
     /// It was established.
     Served,
-    /// No circuit was free on any route that was tried.
+    /// It was refused because no circuit was free.
     NoCircuit,
-    /// A softswitch shed it, or the processor of the node was full.
+    /// A softswitch shed it, or it was refused because a processor on its route was full.
     Shed,
     /// Any other outcome; it counts only in the total.
     Other,
@@ -127,6 +127,7 @@
         self.past.iter().chain(current)
     }
 
+    /// All incidents at the end of the timeline; the current ones have no end.
     pub(super) fn finish(mut self) -> Vec<Incident> {
         for destination in std::mem::take(&mut self.destinations).into_values() {
             for current in
@@ -180,7 +181,8 @@
                     kind,
                     exchange: Some(dest),
                     softswitch: None,
-                    // The refusals in the window began before their fraction reached the threshold.
+                    // The refusals began before their fraction reached the threshold: the first outcome in the window
+                    // is taken as the beginning, even if that call was not refused.
                     begin_us: begin_us.min(since_us),
                     end_us: None,
                     evidence: format!("{:.0}% of the calls to it {what}", 100.0 * fraction),
