--- a/crates/report/src/incident/mod.rs
+++ b/crates/report/src/incident/mod.rs
@@ -31,7 +31,7 @@
 pub enum IncidentKind {
     /// The process of the exchange was gone: connections to it broke and new ones were refused.
     NodeDied,
-    /// The exchange accepted set-ups and answered none.
+    /// The exchange accepted set-ups and sent no reply to any.
     NodeStalled,
     /// The exchange answered much more slowly than before.
     NodeSlow,
@@ -77,16 +77,18 @@
     }
 }
 
-/// Calls that an incident affected, each counted once.
+/// Calls that an incident affected, each counted once. For an incident of a node, calls that were cut, lost or
+/// abandoned at its own softswitch count too, unless they are attributed to an incident of another exchange.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AffectedCalls {
     /// Established calls that were cut.
     pub cut: u64,
-    /// Calls that were refused or failed, after an attempt there or because they were kept from it.
+    /// Calls that were refused or failed, after an attempt there or because they were to go there and were not sent.
     pub lost: u64,
-    /// Calls that their callers abandoned while an attempt there was open.
+    /// Calls that their callers abandoned while an attempt there was open, or after one there had ended without an
+    /// answer.
     pub abandoned: u64,
-    /// Calls that were established after an attempt there had failed.
+    /// Calls that were established after an attempt there had ended without an answer.
     pub delayed: u64,
 }
 
@@ -149,7 +151,8 @@
     call_tracker: CallTracker,
     events: Vec<ReportEvent>,
     incidents: Vec<Incident>,
-    /// Softswitches whose last records are not of a normal stop, and when these records end.
+    /// Softswitches whose records ended without [`Event::Stopped`], and when. An entry is removed when the softswitch
+    /// starts again or its crash is confirmed.
     unclean_ends: BTreeMap<usize, u64>,
     /// For each softswitch, whether its process runs.
     running: Vec<bool>,
@@ -161,7 +164,7 @@
 
 /// Interval at which affected calls are attributed to incidents.
 const ATTRIBUTION_INTERVAL_US: u64 = 10_000_000;
-/// Interval of the checks for what has not happened, such as a missing answer.
+/// Interval of the checks for what has not happened, such as a missing reply.
 const TICK_INTERVAL_US: u64 = 100_000;
 /// A softswitch counts as crashed when the records of others go on for this long after its own have ended.
 const CRASH_CONFIRMATION_US: u64 = 3_000_000;
@@ -327,7 +330,7 @@
         }
     }
 
-    /// Checks for what has not happened by now: answers, a change of the list, further records of a softswitch.
+    /// Checks for what has not happened by now: replies, a change of the list, further records of a softswitch.
     fn tick(&mut self) {
         let now_us = self.latest_us;
         for node in self.nodes.values_mut() {
