--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -22,6 +22,8 @@
 
 /// Longest set-up time that the histograms distinguish, in microseconds.
 const MAX_SETUP_TIME_US: u64 = 60_000_000;
+/// Number of records between two calls of the `progress` function of [`Report::build`].
+const PROGRESS_INTERVAL: u64 = 65_536;
 
 /// Statistics of one class over the whole time range.
 #[derive(Clone, Debug)]
@@ -74,9 +76,10 @@
     pub classes: Vec<ClassStats>,
     /// Number of attempts that ended without an answer, by outcome and reason.
     pub attempt_ends: BTreeMap<(AttemptOutcome, &'static str), u64>,
-    /// Number of attempts.
+    /// Number of attempts, including those of calls in transit.
     pub attempts: u64,
-    /// Number of refused and failed calls, by reason.
+    /// Number of refused and failed calls, by reason. A call in transit is counted by each softswitch that refused or
+    /// failed it.
     pub refusals: BTreeMap<String, u64>,
     /// Calls and nodes over time, for the charts.
     pub series: Series,
@@ -155,7 +158,7 @@
 
 impl Report {
     /// Builds a report from the records of an archive between two times, both inclusive, in Unix microseconds by each
-    /// softswitch's own clock. `progress` is called from time to time with the number of records read.
+    /// softswitch's own clock. `progress` is called at intervals with the number of records read.
     pub fn build(archive: &Archive, window_us: (u64, u64), mut progress: impl FnMut(u64)) -> Self {
         let mut merge = Merge::open(archive, window_us);
         let names = merge.softswitches().to_vec();
@@ -181,7 +184,7 @@
         for entry in merge.by_ref() {
             detector.observe(&entry);
             report.observe(&entry, &mut open_calls, &mut class_indices);
-            if report.record_count.is_multiple_of(65_536) {
+            if report.record_count.is_multiple_of(PROGRESS_INTERVAL) {
                 progress(report.record_count);
             }
         }
@@ -198,13 +201,14 @@
         report
     }
 
+    /// Index of the class with this name, which is added if it is new.
     fn index_of_class(&mut self, name: &str) -> usize {
         if let Some(class_index) = self.classes.iter().position(|class| class.name == name) {
             return class_index;
         }
         // Cannot fail: the bounds and the number of digits are valid constants.
         let setup_times = Histogram::new_with_bounds(1, MAX_SETUP_TIME_US, 3)
-            .unwrap_or_else(|_| Histogram::new(1).expect("a digit"));
+            .unwrap_or_else(|_| Histogram::new(1).expect("one significant digit is valid"));
         let name = name.to_owned();
         let (offered, answered, refused, failed, abandoned, cut) = (0, 0, 0, 0, 0, 0);
         self.classes.push(ClassStats {
