--- a/crates/report/src/charts.rs
+++ b/crates/report/src/charts.rs
@@ -27,7 +27,7 @@
 ];
 
 /// Draws a chart as SVG text. The horizontal axis is in seconds since the first bucket. The text is empty if there is
-/// nothing to draw.
+/// no point after 0 s.
 pub(crate) fn chart(unit: &str, curves: &[Curve], bands: &[Band]) -> String {
     let points = || curves.iter().flat_map(|curve| curve.points.iter());
     let max_x = points().map(|(x, _)| *x).fold(0.0, f64::max);
