--- a/crates/report/tests/detector.rs
+++ b/crates/report/tests/detector.rs
@@ -185,7 +185,7 @@
         incident(IncidentKind::NoFreeCircuits, 4, 13, Some(24)),
         incident(IncidentKind::NodeSlow, 5, 15, Some(30)),
         incident(IncidentKind::CallsShed, 5, 17, Some(31)),
-        // Long after the others: an episode of its own, without a trigger.
+        // Long after the incidents before it: an episode of its own, without a trigger.
         incident(IncidentKind::CallsShed, 5, 90, Some(95)),
         incident(IncidentKind::NodeDied, 1, 200, None),
         incident(IncidentKind::NodeSlow, 1, 201, Some(202)),
@@ -193,8 +193,8 @@
     ];
     find_triggers(&mut incidents);
     let triggers: Vec<Option<usize>> = incidents.iter().map(|incident| incident.triggered_by).collect();
-    // Slowness of the node that died itself (7) has no trigger. Shed calls (4) are triggered by slowness of the same
-    // node.
+    // Slowness of the dead node itself (index 7) has no trigger. Shed calls (index 4) are triggered by slowness of the
+    // same node.
     assert_eq!(triggers, [None, None, Some(0), Some(0), Some(3), None, None, None, Some(6)]);
     let episodes = group_into_episodes(&incidents);
     let indices: Vec<Vec<usize>> = episodes.iter().map(|episode| episode.incidents.clone()).collect();
