--- a/crates/report/examples/hour.rs
+++ b/crates/report/examples/hour.rs
@@ -39,7 +39,8 @@
             &header,
         )?);
     }
-    // Records are kept here until their second is over, so that each file is in order of time.
+    // Records by node that are not written yet. A record is written when its second is over, so that each file is in
+    // order of time; those after the last second are dropped.
     let mut pending: Vec<Vec<(u64, Event)>> = vec![Vec::new(); NODES as usize];
     let mut written = 0_u64;
     for (node, records) in pending.iter_mut().enumerate() {
