--- a/crates/ctl/src/console.rs
+++ b/crates/ctl/src/console.rs
@@ -25,10 +25,12 @@
 
 example: swiftlbctl console 10.1.0.4:9901 10.1.0.5:9901";
 
-/// Time that a softswitch has to answer with `--once`.
+/// Timeout of the fetch with `--once`, for the connect and for each read and write.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 /// Width and minimum height of the screen that `--once` prints, in columns and lines.
 const SCREEN_SIZE: (u16, u16) = (80, 24);
+/// Maximum height of that screen, in lines.
+const MAX_SCREEN_HEIGHT: u16 = 2_000;
 
 pub fn run(mut parser: lexopt::Parser) -> Result<(), CommandError> {
     use lexopt::prelude::*;
@@ -94,9 +96,9 @@
     view::render_text(&model, SCREEN_SIZE.0, screen_height(model.softswitches().len() + model.nodes().len()))
 }
 
-/// Height in lines at which both tables show all their rows; at least that of [`SCREEN_SIZE`] and at most 2 000.
+/// Height in lines at which both tables show all their rows, from that of [`SCREEN_SIZE`] to [`MAX_SCREEN_HEIGHT`].
 fn screen_height(rows: usize) -> u16 {
-    u16::try_from(2 * rows + 6).unwrap_or(u16::MAX).clamp(SCREEN_SIZE.1, 2_000)
+    u16::try_from(2 * rows + 6).unwrap_or(u16::MAX).clamp(SCREEN_SIZE.1, MAX_SCREEN_HEIGHT)
 }
 
 fn play_back(directories: &[PathBuf], at: Duration, once: bool) -> Result<(), CommandError> {
