--- a/crates/ctl/src/demo.rs
+++ b/crates/ctl/src/demo.rs
@@ -32,9 +32,10 @@
 
 example: swiftlbctl demo --seconds 60 --incident death --out /tmp/demo";
 
-/// Time that the softswitches have to stop after a complete run, in which established calls may end.
+/// Time that the softswitches have to stop after a complete run before they are killed. A softswitch that stops lets
+/// established calls continue for up to 10 s.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(13);
-/// Time that the softswitches have to stop after an interrupt by the user.
+/// Time that the softswitches have to stop after an interrupt by the user before they are killed.
 const INTERRUPT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Options of the command line.
