--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/report.rs
@@ -67,7 +67,8 @@
     }
 }
 
-/// Builds a report from the records of these files and directories between two times in Unix microseconds.
+/// Builds a report from the records of these files and directories between two times in Unix microseconds. It is an
+/// error if none of the files can be used.
 pub fn build(paths: &[PathBuf], time_range_us: (u64, u64)) -> Result<Report, CommandError> {
     let archive = Archive::open(paths);
     if archive.runs.is_empty() {
