--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -24,7 +24,11 @@
 pub const EPOCH: Duration = Duration::from_secs(1_800_000_000);
 /// Interval between two fetches of the list of exchanges, as in the client of the resolver.
 const LIST_FETCH_INTERVAL: Duration = Duration::from_millis(100);
-/// Caller connection of every softswitch.
+/// Interval at which record files are flushed, as in the recorder.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(500);
+/// Time after which every softswitch has stopped: the engine lets established calls continue for up to 10 s.
+const STOP_TIME: Duration = Duration::from_secs(11);
+/// Id of the caller connection of a softswitch; each has one.
 const CALLER_CONN: u64 = 1;
 
 /// Error of the clock of a softswitch: offset in microseconds, and drift in microseconds per second.
@@ -135,9 +139,9 @@
         }
         for softswitch in 0..nodes {
             mesh.handle_engine_input(softswitch, Input::Stop);
-            mesh.now += Duration::from_secs(11);
+            mesh.now += STOP_TIME;
             mesh.handle_engine_input(softswitch, Input::Wake);
-            mesh.now -= Duration::from_secs(11);
+            mesh.now -= STOP_TIME;
             mesh.write_records(softswitch, false);
         }
         mesh.model
@@ -343,7 +347,7 @@
                     let now = self.now;
                     let state = &mut self.softswitches[softswitch];
                     if let Some((_, writer)) = &mut state.record_file {
-                        if now >= state.last_flush + Duration::from_millis(500) {
+                        if now >= state.last_flush + FLUSH_INTERVAL {
                             state.last_flush = now;
                             writer.flush().expect("a write to memory");
                         }
@@ -428,6 +432,7 @@
         }
     }
 
+    /// Delivers a message of an exchange over the newest connection of the softswitch to it; without one it is lost.
     fn deliver_from_exchange(
         &mut self,
         softswitch: usize,
