--- a/crates/ctl/tests/terminal.rs
+++ b/crates/ctl/tests/terminal.rs
@@ -98,7 +98,7 @@
     }
 }
 
-/// Starts an HTTP server that answers every request with the same state of one softswitch and this many exchanges;
+/// Starts an HTTP server that replies to every request with the same state of one softswitch and this many exchanges;
 /// returns its address.
 fn start_operator_server(nodes: u32) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
