--- a/crates/ctl/tests/common/mod.rs
+++ b/crates/ctl/tests/common/mod.rs
@@ -28,6 +28,11 @@
 const FLUSH_INTERVAL: Duration = Duration::from_millis(500);
 /// Time after which every softswitch has stopped: the engine lets established calls continue for up to 10 s.
 const STOP_TIME: Duration = Duration::from_secs(11);
+/// Q.850 causes of the messages between the engines and the model.
+const NORMAL_CLEARING: u8 = 16;
+const NO_CIRCUIT: u8 = 34;
+const TEMPORARY_FAILURE: u8 = 41;
+const TIMER_EXPIRED: u8 = 102;
 /// Id of the caller connection of a softswitch; each has one.
 const CALLER_CONN: u64 = 1;
 
@@ -331,11 +336,16 @@
                 Effect::ToCaller { call, message, .. } => {
                     let message = match message {
                         CallerMessage::Answered { .. } => MessageToCaller::Answered,
-                        CallerMessage::Refused { retry_after } => MessageToCaller::Ended(34, retry_after),
-                        CallerMessage::Failed { .. } => MessageToCaller::Ended(41, Duration::ZERO),
-                        CallerMessage::Released { cut } => {
-                            MessageToCaller::Ended(if cut { 41 } else { 16 }, Duration::ZERO)
+                        CallerMessage::Refused { retry_after } => {
+                            MessageToCaller::Ended(NO_CIRCUIT, retry_after)
                         }
+                        CallerMessage::Failed { .. } => {
+                            MessageToCaller::Ended(TEMPORARY_FAILURE, Duration::ZERO)
+                        }
+                        CallerMessage::Released { cut } => MessageToCaller::Ended(
+                            if cut { TEMPORARY_FAILURE } else { NORMAL_CLEARING },
+                            Duration::ZERO,
+                        ),
                         CallerMessage::HealthCheckResult { .. } => continue,
                     };
                     let call = u64::from_str_radix(call.as_str(), 16).expect("a call id");
@@ -383,7 +393,7 @@
                             Input::SetUp { caller_conn: CALLER_CONN, call, setup }
                         }
                         MessageFromCaller::HangUp => {
-                            Input::HangUp { caller_conn: CALLER_CONN, call, cause: 16 }
+                            Input::HangUp { caller_conn: CALLER_CONN, call, cause: NORMAL_CLEARING }
                         }
                     };
                     let process = self.softswitches[softswitch].process;
@@ -457,10 +467,10 @@
             }
             MessageFromExchange::Ended(cause, note, wait) => {
                 let outcome = match cause {
-                    16 => Outcome::Completed,
-                    34 => Outcome::Congested,
-                    41 => Outcome::Reset,
-                    102 => Outcome::NotSent,
+                    NORMAL_CLEARING => Outcome::Completed,
+                    NO_CIRCUIT => Outcome::Congested,
+                    TEMPORARY_FAILURE => Outcome::Reset,
+                    TIMER_EXPIRED => Outcome::NotSent,
                     _ => Outcome::Busy,
                 };
                 let reason = match note {
