--- a/crates/ctl/tests/cli.rs
+++ b/crates/ctl/tests/cli.rs
@@ -42,7 +42,8 @@
     }
 }
 
-/// Writes records of a softswitch whose connections exchange 2 refuses for four seconds.
+/// Writes records of a softswitch that loses its connection to exchange 2 after 10 s. The exchange refuses connections
+/// and returns after four seconds; the calls in that time are refused.
 fn write_records(directory: &Path, node: u32) -> PathBuf {
     let header = FileHeader::first_of_run(&format!("n{node}"), node, START_US);
     let mut writer = FileWriter::create(Vec::new(), &header).expect("a write to memory");
@@ -166,7 +167,7 @@
     let cold_return =
         lines.iter().position(|line| line.contains("\"kind\":\"node-returned-cold\",\"exchange\":2"));
     assert!(death.is_some() && death < cold_return, "{lines:?}");
-    // The death began before the time given by --from, so it is not in the report.
+    // The node died and returned before the time given by --from, so the death is not in the report.
     let from = format!("{}", START_US / 1_000_000 + 15);
     let output = swiftlbctl(&["report", &dir, "--out", &out, "--from", &from, "--json"]);
     assert!(text(&output.stdout).contains("\"incidents\":[]"), "{output:?}");
