--- a/crates/report/tests/detector.rs
+++ b/crates/report/tests/detector.rs
@@ -230,6 +230,7 @@
             );
         }
     };
+    // Events that concern no exchange and only advance the detector's time.
     let advance = |feed: &mut DetectorFeed, seconds: std::ops::Range<u64>| {
         for second in seconds {
             feed.send(second * 1_000, 0, Event::CallerConnections { open: 1 });
