--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -7,6 +7,9 @@
 use crate::model::ListedExchange;
 use crate::scenario::{CLASSES, CallClass};
 
+/// Odd multiplier that spreads the seed of the mesh over all 64 bits.
+const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+
 /// Values of the configuration that differ between runs or softswitches.
 #[derive(Clone, Copy, Debug)]
 pub struct SoftswitchConfig {
@@ -14,13 +17,13 @@
     pub number: usize,
     /// Number of nodes of the mesh.
     pub node_count: usize,
-    /// Address for calls.
+    /// Address at which the softswitch accepts calls.
     pub listen: SocketAddr,
     /// Address of the operators' HTTP interface.
     pub operator: SocketAddr,
     /// Address of its resolver.
     pub resolver: SocketAddr,
-    /// Seed of the mesh; each softswitch derives its own from it.
+    /// Seed of the mesh; that of the softswitch is derived from it and from its number.
     pub seed: u64,
     /// Wall-clock time at which the model's time started.
     pub epoch: SystemTime,
@@ -31,7 +34,8 @@
     ["wien", "linz", "graz"][node % 3]
 }
 
-/// Start of a processor, given in the model's time, in Unix milliseconds; 0 for long ago.
+/// Converts the start of a processor from the model's time to Unix time in milliseconds; 0 if it started before the
+/// run.
 pub fn started_ms(epoch: SystemTime, started_at: Option<Duration>) -> u128 {
     started_at.map_or(0, |started_at| {
         (epoch + started_at).duration_since(UNIX_EPOCH).unwrap_or_default().as_millis()
@@ -55,7 +59,7 @@
                 entry.exchange,
             );
         }
-        let seed = self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ *number as u64;
+        let seed = self.seed.wrapping_mul(SEED_MULTIPLIER) ^ *number as u64;
         let for_each_class =
             |format: &dyn Fn(&CallClass) -> String| CLASSES.iter().map(format).collect::<Vec<_>>().join(",");
         let classes = for_each_class(&|class| {
