--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -6,7 +6,8 @@
 //! gets the messages to deliver to them. The same seed and the same inputs give the same outputs. [`loopback`] runs the
 //! model with sockets on loopback and real softswitch processes.
 //!
-//! Not modelled: the work that a call costs its own exchange, and retransmission of set-ups by the network.
+//! Not modelled: the processing time of a call at its originating exchange, and retransmission of set-ups by the
+//! network.
 
 mod config;
 pub mod loopback;
