--- a/crates/emulator/src/loopback.rs
+++ b/crates/emulator/src/loopback.rs
@@ -2,8 +2,8 @@
 //! processes.
 //!
 //! The platform's protocol doesn't say which softswitch a connection comes from; normally its source address does. On
-//! loopback all softswitches have the same address, so each one has its own resolver, which gives it its own port for each
-//! exchange.
+//! loopback all softswitches have the same address, so each one has its own resolver, which gives it its own port for
+//! each exchange.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::fs::{self, File};
@@ -27,10 +27,13 @@
 };
 use crate::scenario::{Scenario, ScriptedKind};
 
-/// Time in which the softswitches must have logged their addresses.
+/// Time limit for all softswitches to log their addresses after their start.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(8);
-/// Longest line of the JSON lines protocol.
+/// A connection is closed if more bytes than this are received without the end of a line.
 const MAX_LINE_BYTES: usize = 16 * 1024;
+/// Longest wait for socket events. The logs and exits of softswitches are read at least this often: they don't wake the
+/// poll.
+const MAX_POLL_WAIT: Duration = Duration::from_millis(20);
 
 /// Options of a run.
 #[derive(Clone, Debug)]
@@ -58,6 +61,7 @@
 struct Connection {
     role: Role,
     stream: TcpStream,
+    /// Bytes received that are not a complete line yet.
     unread: Vec<u8>,
     unsent: Vec<u8>,
 }
@@ -73,8 +77,8 @@
     caller_conn: Option<Token>,
 }
 
-/// Address from the log of a softswitch. The log messages are `serves` and `operators`; `start` counts the processes launched
-/// up to this one.
+/// Log message of a softswitch with an address at which it listens: `serves` for calls, `operators` for the operators'
+/// HTTP interface. `start` is the number of the process, counted over all softswitches.
 enum LogEvent {
     Serves { softswitch: usize, start: u32, address: SocketAddr },
     Operators { softswitch: usize, address: SocketAddr },
@@ -89,7 +93,8 @@
     poll: Poll,
     events: Events,
     last_token: usize,
-    /// Listening socket of each exchange for each softswitch, by softswitch and exchange; none while the exchange is down.
+    /// Listening socket of each exchange for each softswitch, by softswitch and exchange; none while the exchange is
+    /// down.
     listeners: BTreeMap<(usize, usize), (Token, TcpListener)>,
     listener_tokens: HashMap<Token, (usize, usize)>,
     /// Address of each of these sockets, which a restarted exchange uses again.
@@ -155,9 +160,10 @@
                 let logs = mesh.options.directory.display();
                 return Err(io::Error::other(format!("a softswitch did not start: see the logs in {logs}")));
             }
-            mesh.poll_once(Duration::from_millis(20))?;
+            mesh.poll_once(MAX_POLL_WAIT)?;
         }
-        // The model's time starts once all softswitches serve.
+        // The clock of the model is reset once all softswitches serve. The model has already handled the time that the
+        // start-up took, so its own time stands still until the clock has caught up.
         (mesh.started_at, mesh.epoch) = (Instant::now(), SystemTime::now());
         Ok(mesh)
     }
@@ -192,7 +198,7 @@
         self.options.directory.join("records")
     }
 
-    /// Runs for this long at most; returns whether the run is still unfinished.
+    /// Runs until the model has finished, for this long at most; returns whether it is still unfinished.
     ///
     /// # Errors
     /// If a socket, file or process cannot be used.
@@ -204,8 +210,8 @@
         Ok(!self.model.is_finished())
     }
 
-    /// Asks the softswitches to stop and waits for this long at most; those that still run are killed. A softswitch that
-    /// stops lets established calls continue for up to 10 s.
+    /// Asks the softswitches to stop and waits for this long at most; those that still run are killed. A softswitch
+    /// lets established calls continue for up to 10 s before it stops.
     pub fn shut_down(&mut self, limit: Duration) {
         for softswitch in &self.softswitches {
             if let Some(child) = &softswitch.child {
@@ -215,12 +221,12 @@
         let deadline = Instant::now() + limit;
         while Instant::now() < deadline && self.softswitches.iter_mut().any(SoftswitchProcess::is_running) {
             // Established calls can still end, and messages are still read.
-            let _ = self.poll_once(Duration::from_millis(20));
+            let _ = self.poll_once(MAX_POLL_WAIT);
         }
         self.softswitches.iter_mut().for_each(SoftswitchProcess::kill);
     }
 
-    /// Whether a softswitch process has exited by itself.
+    /// Whether a softswitch process has exited by itself and this has not been handled yet.
     fn any_exited(&mut self) -> bool {
         self.softswitches.iter_mut().any(|softswitch| softswitch.child.is_some() && !softswitch.is_running())
     }
@@ -244,8 +250,8 @@
         Ok(())
     }
 
-    /// Writes the configuration of a softswitch and starts its process. A restarted one listens at the addresses that it
-    /// had before.
+    /// Writes the configuration of a softswitch and starts its process. A restarted one listens at the addresses that
+    /// it had before.
     fn launch(&mut self, softswitch: usize) -> io::Result<()> {
         self.starts += 1;
         let (start, directory) = (self.starts, self.options.directory.clone());
@@ -326,8 +332,7 @@
     /// Waits for events for this long at most, handles them and carries out the effects that the model requests.
     fn poll_once(&mut self, limit: Duration) -> io::Result<()> {
         let next = self.model.next_wake().map(|at| at.saturating_sub(self.started_at.elapsed()));
-        // At most 20 ms: events from the logs don't wake the poll.
-        let wait = next.unwrap_or(limit).min(limit).min(Duration::from_millis(20));
+        let wait = next.unwrap_or(limit).min(limit).min(MAX_POLL_WAIT);
         match self.poll.poll(&mut self.events, Some(wait)) {
             Err(error) if error.kind() != ErrorKind::Interrupted => return Err(error),
             _ => {}
@@ -363,8 +368,8 @@
                 self.softswitches[softswitch].operator_address = Some(address)
             }
             LogEvent::Serves { softswitch, start, address } => {
-                // If at least as many processes as there are softswitches were launched since, the line is ignored: it is
-                // taken for one of a process that has been replaced.
+                // The processes are counted over all softswitches. If at least as many as there are softswitches were
+                // launched after this one, it is assumed to have been replaced, and its line is ignored.
                 if start + self.softswitches.len() as u32 > self.starts {
                     self.softswitches[softswitch].address = Some(address);
                     self.handle_input(Input::SoftswitchUp(softswitch));
@@ -699,8 +704,8 @@
     packet.build_bytes_vec()
 }
 
-/// The program of this name in the directory of another program or in its parent directory, where cargo puts the programs
-/// of a workspace.
+/// The program of this name in the directory of another program or in its parent directory, where cargo puts the
+/// programs of a workspace.
 pub fn find_program(program: &Path, name: &str) -> Option<PathBuf> {
     let directory = program.parent()?;
     [directory, directory.parent()?].iter().map(|directory| directory.join(name)).find(|path| path.is_file())
