--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -60,11 +60,12 @@
 /// Kind of a scripted incident.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ScriptedKind {
-    /// The processor of an exchange dies; at the end of the incident it starts again, cold.
+    /// The exchange dies, which cuts its calls; at the end of the incident it starts again, cold.
     Die,
-    /// The exchange drains; at the end of the incident it stops and a cold one with another name replaces it.
+    /// The list shows the exchange as draining; at the end of the incident it stops and a cold one with another name
+    /// replaces it.
     Replace,
-    /// The processor accepts set-ups but processes none.
+    /// The processor accepts set-ups but processes none, and the exchange doesn't reply to probes.
     Stall,
     /// The processor is slower by this factor.
     Slow(f64),
@@ -72,7 +73,8 @@
     Lag(Duration),
     /// The softswitch of a node is killed; at the end of the incident it is started again.
     Kill,
-    /// The clock of the softswitch's records is ahead by this many ms and drifts by this many ppm, for the whole run.
+    /// The clock of the softswitch's records is ahead by this many ms and drifts by this many ppm. This holds for the
+    /// whole run, whatever the times of the incident.
     Clock(i64, i64),
 }
 
@@ -96,7 +98,7 @@
 pub struct ScriptedIncident {
     /// When it begins, from the start of the run.
     pub at: Duration,
-    /// Time until it ends.
+    /// How long it lasts.
     pub duration: Duration,
     /// The node that it affects; ignored for [`ScriptedKind::Lag`].
     pub node: usize,
@@ -109,7 +111,7 @@
 pub struct Scenario {
     /// Number of nodes; each has an exchange and a softswitch.
     pub nodes: usize,
-    /// How long calls are offered.
+    /// Time during which new calls are offered.
     pub duration: Duration,
     /// New calls per second over all nodes, without redials.
     pub calls_per_s: f64,
@@ -156,7 +158,8 @@
     ScenarioError::InvalidKey { key: key.to_owned(), expected: expected.into() }
 }
 
-/// Reads a number within a range. `path` leads to the object, with a dot at its end unless it is empty.
+/// Reads a number within a range, or the default if the key is missing. `path` is that of the object and ends in a dot
+/// unless it is empty.
 fn number(
     object: &Object,
     path: &str,
@@ -193,10 +196,10 @@
     /// # Errors
     /// If there is no scenario of this name.
     pub fn built_in(name: &str, duration: Duration) -> Result<Self, ScenarioError> {
-        let time_at = |fraction: f64| duration.mul_f64(fraction);
+        let fraction_of_run = |fraction: f64| duration.mul_f64(fraction);
         let incident = |at, length, node, kind| ScriptedIncident {
-            at: time_at(at),
-            duration: time_at(length),
+            at: fraction_of_run(at),
+            duration: fraction_of_run(length),
             node,
             kind,
         };
@@ -205,6 +208,7 @@
             "calm" => vec![],
             // An exchange dies and returns cold while the list lags.
             "death" => vec![incident(0.28, 0.35, 0, more_lag), incident(0.3, 0.2, 2, ScriptedKind::Die)],
+            // One exchange is slow, another dies while the list lags, and a third is replaced.
             "winter" => vec![
                 incident(0.15, 0.2, 1, ScriptedKind::Slow(3.0)),
                 incident(0.38, 0.3, 0, more_lag),
@@ -212,6 +216,7 @@
                 incident(0.7, 0.15, 3, ScriptedKind::Replace),
             ],
             "stall" => vec![incident(0.3, 0.2, 2, ScriptedKind::Stall)],
+            // A softswitch whose clock is ahead and drifts is killed and started again.
             "restart" => vec![
                 incident(0.0, 1.0, 1, ScriptedKind::Clock(80, 50)),
                 incident(0.4, 0.1, 1, ScriptedKind::Kill),
