--- a/crates/emulator/src/model.rs
+++ b/crates/emulator/src/model.rs
@@ -11,23 +11,36 @@
 
 /// A processor refuses set-ups while the wait in its queue is longer than this.
 const MAX_PROCESSOR_WAIT: Duration = Duration::from_millis(3_000);
-/// Fraction of its full speed that a cold processor starts with.
+/// Fraction of its full speed that a cold processor starts with; the softswitches are configured with the same value.
 const COLD_INITIAL_SPEED: f64 = 0.34;
-/// Time after its start until a processor has its full speed.
+/// Time after its start until a processor has its full speed; the softswitches are configured with the same value.
 const COLD_PERIOD: Duration = Duration::from_secs(13);
-/// Longest processing time of a set-up at full speed; it is shorter where the load needs it.
+/// Longest processing time of a set-up at full speed, in seconds; it is shorter where the load needs it.
 const MAX_SETUP_WORK_S: f64 = 0.04;
 /// Utilization of a processor at the planned load.
 const PLANNED_UTILIZATION: f64 = 0.7;
+/// Set-ups per call that the processors are sized for.
+const PLANNED_SETUPS_PER_CALL: f64 = 1.15;
 /// Time-out of one attempt, as a fraction of the time after which a caller of the class abandons the call.
 const ATTEMPT_TIMEOUT_FRACTION: f64 = 0.35;
-/// How often a caller redials after its first attempt.
+/// Maximum number of redials of a caller after its first attempt.
 const MAX_REDIALS: u32 = 2;
 /// The distribution of calls over destinations changes at this interval.
 const TRAFFIC_SHIFT_INTERVAL: Duration = Duration::from_secs(15);
 /// Calls that are open when the load ends may continue for this long.
 const GRACE_PERIOD: Duration = Duration::from_secs(12);
 
+/// Q.850 cause: normal call clearing.
+const CAUSE_NORMAL_CLEARING: u8 = 16;
+/// Q.850 cause: no circuit or channel available.
+const CAUSE_NO_CIRCUIT: u8 = 34;
+/// Q.850 cause: temporary failure.
+const CAUSE_TEMPORARY_FAILURE: u8 = 41;
+/// Q.850 cause: resource unavailable, unspecified.
+const CAUSE_RESOURCE_UNAVAILABLE: u8 = 47;
+/// Q.850 cause: recovery on timer expiry.
+const CAUSE_TIMER_EXPIRY: u8 = 102;
+
 /// Message to a softswitch from one of its callers: a subscriber, or its own exchange with a call in transit.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MessageFromCaller {
@@ -35,7 +48,7 @@
     SetUp {
         /// Name of the class.
         class: &'static str,
-        /// How long the caller waits.
+        /// How long the caller still waits for an answer.
         remaining: Duration,
         /// The destination exchange.
         dest: usize,
@@ -51,7 +64,7 @@
 pub enum MessageToCaller {
     /// The call is established.
     Answered,
-    /// The call was refused, failed or has ended: Q.850 cause, and the time for which the caller should not retry.
+    /// The call was refused, failed or has ended: Q.850 cause, and the time for which the caller should not redial.
     Ended(u8, Duration),
 }
 
@@ -71,7 +84,8 @@
 pub enum MessageFromExchange {
     /// The call is established.
     Answered,
-    /// The attempt failed or the call has ended: Q.850 cause, note, and the wait at the processor if it is full.
+    /// The attempt failed or the call has ended: Q.850 cause, note, and the wait at the processor; the wait is zero
+    /// unless the processor refused the set-up as full.
     Ended(u8, &'static str, Duration),
     /// Free circuits and size of the group between this exchange and the exchange of the softswitch.
     GroupState(u32, u32),
@@ -86,7 +100,7 @@
     Wake,
     /// A softswitch started to accept calls.
     SoftswitchUp(usize),
-    /// A softswitch is gone.
+    /// The process of a softswitch has ended.
     SoftswitchDown(usize),
     /// A softswitch opened a connection to an exchange.
     ExchangeConnected {
@@ -140,7 +154,7 @@
         /// The message.
         message: MessageFromExchange,
     },
-    /// The process of an exchange is gone: break its connections and accept no new ones.
+    /// The process of an exchange has stopped: close its connections and accept no new ones.
     ExchangeDown(usize),
     /// The process of an exchange runs again: accept connections.
     ExchangeUp(usize),
@@ -157,9 +171,9 @@
     pub name: String,
     /// Number of the exchange.
     pub exchange: usize,
-    /// When its processor last started, as time since the start of the run; `None` for long ago.
+    /// When its processor last started, as time since the start of the run; `None` if it started before the run.
     pub started_at: Option<Duration>,
-    /// Whether it is draining: it finishes its calls and accepts no new ones.
+    /// Whether it is draining, so that softswitches should send it no new calls; the model would still accept them.
     pub draining: bool,
 }
 
@@ -182,7 +196,7 @@
 enum Timer {
     NextArrival,
     TrafficShift,
-    /// A caller gives an attempt up.
+    /// An attempt of a caller times out, if the caller still waits.
     AttemptTimeout(u64),
     /// A caller redials.
     Redial(u64),
@@ -199,7 +213,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LegPhase {
-    /// The set-up is in the queue of the exchange.
+    /// The set-up waits for the processor of the exchange or is being processed.
     Queued,
     /// The tandem has forwarded the set-up.
     Forwarded,
@@ -222,7 +236,8 @@
     class: usize,
     first_attempt_at: Duration,
     redials: u32,
-    /// The caller waits for an answer. If neither this nor `established` is set, the caller has left.
+    /// The caller waits for an answer. If neither this nor `established` is set, the caller has left or will redial
+    /// with this call.
     waiting: bool,
     /// The call is established for its caller.
     established: bool,
@@ -237,7 +252,8 @@
     draining: bool,
     slow_factor: f64,
     started_at: Option<Duration>,
-    /// Set-ups that wait for the processor: id of the call, and the exchange that sent it.
+    /// Set-ups that wait for the processor or, at the front, are being processed: id of the call, and the exchange that
+    /// sent it.
     queue: VecDeque<(u64, usize)>,
     /// The processor works on the first set-up of the queue.
     busy: bool,
@@ -286,6 +302,7 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let nodes = scenario.nodes;
         let mean_hold_s: f64 = CLASSES.iter().map(|class| class.share * class.mean_hold.as_secs_f64()).sum();
+        // Offered load of each pair of exchanges. A group is sized for it with a reserve, varied at random.
         let offered_erlangs = 2.0 * scenario.calls_per_s * mean_hold_s / (nodes * (nodes - 1)) as f64;
         let mut groups = BTreeMap::new();
         for a in 0..nodes {
@@ -309,7 +326,8 @@
             replacements: 0,
         };
         let setup_work_s =
-            (PLANNED_UTILIZATION * nodes as f64 / scenario.calls_per_s.max(0.1) / 1.15).min(MAX_SETUP_WORK_S);
+            (PLANNED_UTILIZATION * nodes as f64 / scenario.calls_per_s.max(0.1) / PLANNED_SETUPS_PER_CALL)
+                .min(MAX_SETUP_WORK_S);
         let mut model = Self {
             rng,
             now: Duration::ZERO,
@@ -349,7 +367,7 @@
         self.timers.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// Whether the load has ended and the open calls have ended or run out of time.
+    /// Whether the load has ended, and either all calls have ended or the grace period is over.
     pub fn is_finished(&self) -> bool {
         let end = self.scenario.duration;
         self.now >= end + GRACE_PERIOD || (self.now >= end && self.calls.is_empty())
@@ -360,21 +378,21 @@
         self.totals
     }
 
-    /// Number of set-ups that break the protocol: from a softswitch that does not have the call, or a second one from the
-    /// same softswitch while the first is open. 0 if the softswitches work correctly.
+    /// Number of set-ups that break the protocol: from a softswitch that does not have the call, or a second one from
+    /// the same softswitch while the first is open. 0 if the softswitches work correctly.
     pub fn protocol_violations(&self) -> u64 {
         self.protocol_violations
     }
 
-    /// Worth of the served calls as a fraction of the worth offered. A late call counts with its reduced worth; a cut call
-    /// is subtracted from those established in time.
+    /// Worth of the served calls as a fraction of the worth offered; 1 if no calls were offered. A late call counts
+    /// with its reduced worth; a cut call is subtracted from those established in time.
     pub fn service_level(&self) -> f64 {
         let classes = || self.totals.iter().zip(CLASSES);
         let offered: f64 = classes().map(|(s, class)| s.offered as f64 * class.worth).sum();
-        let earned = classes().map(|(s, class)| {
+        let served = classes().map(|(s, class)| {
             (s.in_time.saturating_sub(s.cut) as f64 + class.late_worth_factor * s.late as f64) * class.worth
         });
-        if offered > 0.0 { earned.sum::<f64>() / offered } else { 1.0 }
+        if offered > 0.0 { served.sum::<f64>() / offered } else { 1.0 }
     }
 
     /// Whether the process of an exchange runs.
@@ -516,7 +534,8 @@
         self.set_timer(self.now + remaining, Timer::AttemptTimeout(call));
     }
 
-    /// Ends an attempt that failed or timed out: the caller redials after a pause, or the call counts as unserved.
+    /// Ends an attempt that failed or timed out. The caller redials after 0.5 to 2 s, or after `retry_after` if that is
+    /// longer; the call counts as unserved if no redial is left or the redial would come after `abandon_after`.
     fn end_failed_attempt(&mut self, call: u64, retry_after: Duration) {
         let Some(state) = self.calls.get_mut(&call) else { return };
         state.waiting = false;
@@ -558,7 +577,7 @@
             }
             MessageToCaller::Ended(cause, _) if state.established => {
                 state.established = false;
-                self.totals[state.class].cut += u64::from(cause != 16);
+                self.totals[state.class].cut += u64::from(cause != CAUSE_NORMAL_CLEARING);
                 self.remove_if_ended(call);
             }
             MessageToCaller::Ended(_, retry_after) if state.waiting => {
@@ -568,8 +587,8 @@
         }
     }
 
-    /// Handles the message of a softswitch about a call in transit: the tandem passes it back to the exchange
-    /// that the call came from.
+    /// Handles the message of a softswitch about a call in transit: the tandem passes it back to the exchange that the
+    /// call came from, with the failure of a set-up as `tandem_refused`.
     fn handle_transit_message(
         &mut self,
         softswitch: usize,
@@ -590,7 +609,7 @@
                 let message = if was_established {
                     MessageFromExchange::Ended(cause, "", Duration::ZERO)
                 } else {
-                    MessageFromExchange::Ended(34, "tandem_refused", Duration::ZERO)
+                    MessageFromExchange::Ended(CAUSE_NO_CIRCUIT, "tandem_refused", Duration::ZERO)
                 };
                 self.release_leg(call, previous, softswitch, out);
                 self.send_to_softswitch(previous, softswitch, call, message, out);
@@ -680,28 +699,28 @@
         out: &mut Vec<Output>,
     ) -> Option<MessageFromExchange> {
         let Some(state) = self.calls.get(&call) else {
-            // Not counted as a violation: the caller may just have abandoned the call. An unknown id cannot be distinguished
-            // from that.
-            return Some(MessageFromExchange::Ended(47, "", Duration::ZERO));
+            // Not counted as a violation: the caller may just have abandoned the call, which cannot be distinguished
+            // from an unknown id.
+            return Some(MessageFromExchange::Ended(CAUSE_RESOURCE_UNAVAILABLE, "", Duration::ZERO));
         };
         if state.legs.iter().any(|leg| leg.from == softswitch) {
             self.protocol_violations += 1;
-            return Some(MessageFromExchange::Ended(47, "", Duration::ZERO));
+            return Some(MessageFromExchange::Ended(CAUSE_RESOURCE_UNAVAILABLE, "", Duration::ZERO));
         }
         let has_call = state.origin == softswitch || state.legs.iter().any(|leg| leg.to == softswitch);
         if !has_call {
             self.protocol_violations += 1;
-            return Some(MessageFromExchange::Ended(47, "", Duration::ZERO));
+            return Some(MessageFromExchange::Ended(CAUSE_RESOURCE_UNAVAILABLE, "", Duration::ZERO));
         }
         if !self.exchanges[softswitch].running {
-            return Some(MessageFromExchange::Ended(102, "", Duration::ZERO));
+            return Some(MessageFromExchange::Ended(CAUSE_TIMER_EXPIRY, "", Duration::ZERO));
         }
         if self.groups[&group_key(softswitch, exchange)].0 == 0 {
-            return Some(MessageFromExchange::Ended(34, "group_full", Duration::ZERO));
+            return Some(MessageFromExchange::Ended(CAUSE_NO_CIRCUIT, "group_full", Duration::ZERO));
         }
         let wait = self.processor_wait(exchange);
         if wait > MAX_PROCESSOR_WAIT {
-            return Some(MessageFromExchange::Ended(34, "processor_full", wait));
+            return Some(MessageFromExchange::Ended(CAUSE_NO_CIRCUIT, "processor_full", wait));
         }
         let leg = Leg { from: softswitch, to: exchange, phase: LegPhase::Queued };
         if let Some(state) = self.calls.get_mut(&call) {
@@ -725,7 +744,8 @@
         }
     }
 
-    /// Speed of a processor as a fraction of its full speed. It grows linearly while the processor is cold.
+    /// Speed of a processor as a fraction of its full speed. It grows linearly while the processor is cold; a `slow`
+    /// incident divides it.
     fn speed(&self, exchange: usize) -> f64 {
         let state = &self.exchanges[exchange];
         let warm =
@@ -752,8 +772,8 @@
         self.set_timer(self.now + Duration::from_secs_f64(work_s), Timer::JobDone(exchange, job));
     }
 
-    /// The processor of an exchange has processed a set-up. At its destination the call is answered. A tandem forwards it
-    /// through its own softswitch, unless that is down or the call has already passed a tandem.
+    /// The processor of an exchange has processed a set-up. At its destination the call is answered. A tandem forwards
+    /// it through its own softswitch; it refuses the set-up if that is down or the call has already passed a tandem.
     fn finish_job(&mut self, exchange: usize, job: u64, out: &mut Vec<Output>) {
         let state = &mut self.exchanges[exchange];
         if state.job != job || !state.busy || !state.running {
@@ -782,7 +802,7 @@
                 from,
                 exchange,
                 call,
-                MessageFromExchange::Ended(34, "tandem_refused", Duration::ZERO),
+                MessageFromExchange::Ended(CAUSE_NO_CIRCUIT, "tandem_refused", Duration::ZERO),
                 out,
             );
         } else {
@@ -805,7 +825,7 @@
                 leg.from,
                 dest,
                 call,
-                MessageFromExchange::Ended(16, "", Duration::ZERO),
+                MessageFromExchange::Ended(CAUSE_NORMAL_CLEARING, "", Duration::ZERO),
                 out,
             );
             self.remove_if_ended(call);
@@ -821,7 +841,8 @@
         Some(leg)
     }
 
-    /// Removes a call once its caller has left and no leg remains.
+    /// Removes a call that has no leg and that its caller neither waits for nor has established. This applies to a call
+    /// that is to be redialled, too.
     fn remove_if_ended(&mut self, call: u64) {
         if self
             .calls
@@ -874,7 +895,7 @@
         }
     }
 
-    /// Stops the process of an exchange, which cuts all calls that start, end or pass there.
+    /// Stops the process of an exchange, which cuts all calls from, to or through it.
     fn stop_exchange(&mut self, node: usize, out: &mut Vec<Output>) {
         let state = &mut self.exchanges[node];
         (state.running, state.busy, state.stalled) = (false, false, false);
@@ -892,7 +913,7 @@
                         node,
                         leg.to,
                         call,
-                        MessageFromExchange::Ended(41, "", Duration::ZERO),
+                        MessageFromExchange::Ended(CAUSE_TEMPORARY_FAILURE, "", Duration::ZERO),
                         out,
                     );
                 }
@@ -922,7 +943,8 @@
         self.lists.push((self.now, listed.collect()));
     }
 
-    /// Ends what depends on the softswitch: its open set-ups, and the attempts of its callers. Established calls continue.
+    /// Ends what depends on a softswitch that is down: its open set-ups, and the attempts of its callers. Established
+    /// calls continue.
     fn handle_softswitch_down(&mut self, softswitch: usize, out: &mut Vec<Output>) {
         self.softswitches[softswitch] = false;
         let mut calls: Vec<u64> = self.calls.keys().copied().collect();
@@ -943,7 +965,8 @@
                     }
                 } else if leg.to == softswitch && leg.phase == LegPhase::Forwarded {
                     self.release_leg(call, leg.from, leg.to, out);
-                    let message = MessageFromExchange::Ended(34, "tandem_refused", Duration::ZERO);
+                    let message =
+                        MessageFromExchange::Ended(CAUSE_NO_CIRCUIT, "tandem_refused", Duration::ZERO);
                     self.send_to_softswitch(leg.from, softswitch, call, message, out);
                 }
             }
