--- a/crates/emulator/tests/model.rs
+++ b/crates/emulator/tests/model.rs
@@ -15,7 +15,8 @@
     groups: BTreeMap<(usize, usize), (u32, u32)>,
 }
 
-/// Runs a scenario with softswitches that send every call on the direct route and pass the answers on.
+/// Runs a scenario with softswitches that send every call on the direct route and pass answers and ends of calls on to
+/// the callers.
 fn run(scenario: Scenario, seed: u64) -> Run {
     let nodes = scenario.nodes;
     let mut run = Run { model: MeshModel::new(scenario, seed), outputs: Vec::new(), groups: BTreeMap::new() };
@@ -145,8 +146,8 @@
     assert!(!run.outputs.iter().any(answers_while_down), "a dead exchange answers nothing");
     let cut: u64 = run.model.totals().iter().map(|s| s.cut).sum();
     assert!(cut > 0, "calls over the dead exchange are cut at their other ends");
-    // The lag is back to normal, so all three versions have been delivered: complete, without the dead exchange, and with
-    // it started again.
+    // The lag is back to normal, so all three versions have been delivered: complete, without the dead exchange, and
+    // with it started again.
     let (serial, list) = run.model.list(Duration::from_secs(41));
     assert_eq!((serial, list.len()), (3, 5));
     assert_eq!(list[2].started_at, Some(Duration::from_secs(18)));
