--- a/crates/planner/src/conflict.rs
+++ b/crates/planner/src/conflict.rs
@@ -12,7 +12,7 @@
         from: u32,
         /// Number of the destination exchange.
         to: u32,
-        /// Least number of circuits.
+        /// Minimum number of circuits.
         circuits: u32,
     },
     /// At most this many circuits may pass the tandems of a region.
@@ -71,9 +71,9 @@
     reduced
 }
 
-/// A minimal set of conflicting constraints: there is no plan with them, but there is one without any one of them. `None` if
-/// the network has a plan. If there are several such sets, this is the one that remains when constraints are dropped in
-/// their order: demands by origin and destination, then regions.
+/// A minimal set of conflicting constraints: there is no plan that meets them all, but there is one as soon as any one
+/// of them is dropped. `None` if the network has a plan. If there are several such sets, this is the one that remains
+/// when constraints are dropped in their order: demands by origin and destination, then regions.
 ///
 /// # Errors
 /// If the solver fails for another reason than that there is no plan.
@@ -91,7 +91,7 @@
     while index < remaining.len() {
         let mut without = remaining.clone();
         without.remove(index);
-        // A constraint is dropped for good if the others conflict without it.
+        // A constraint stays dropped if the others conflict without it.
         if has_plan(&without)? { index += 1 } else { remaining = without }
     }
     Ok(Some(remaining))
