--- a/crates/planner/src/exhaustive.rs
+++ b/crates/planner/src/exhaustive.rs
@@ -1,5 +1,6 @@
-//! The best plan by exhaustive search, for small networks and as a reference for the solver. It shares with
-//! the integer programs only the network and the objective: it assigns circuits to one route after the other and backtracks.
+//! The best plan by exhaustive search, for small networks and as a reference for the solver. It shares with the integer
+//! programs of [`crate::solve`] only the network and the objective: it assigns circuits to one route after the other
+//! and backtracks.
 
 use std::collections::BTreeMap;
 
@@ -10,6 +11,7 @@
 struct Route {
     /// Index of the demand.
     demand: usize,
+    /// The flow on this route, without its circuits.
     flow: Flow,
     /// Indices in [`Search::free`] of the groups and of the transit limit that the route uses.
     resources: Vec<usize>,
@@ -22,7 +24,7 @@
     free: Vec<u32>,
     /// Circuits of each demand that are not carried yet.
     uncarried: Vec<u32>,
-    /// Circuits of each demand that must still be carried.
+    /// Circuits of each demand that must still be carried to reach its minimum.
     required: Vec<u32>,
     /// End of the routes of each demand: index of its last route + 1.
     route_ends: Vec<usize>,
@@ -33,8 +35,8 @@
 
 /// The best plan; `None` if there is no plan that carries what must be carried.
 ///
-/// The number of plans is the product of the possible circuits of all routes: a dozen routes with three circuits each take
-/// seconds.
+/// The number of plans grows as the product of the possible numbers of circuits of all routes: a dozen routes with
+/// three circuits each take seconds.
 pub fn best_plan(network: &Network) -> Option<Plan> {
     let mut free: Vec<u32> = network.groups.values().map(|group| group.circuits).collect();
     let groups: BTreeMap<(u32, u32), usize> = network.groups.keys().copied().zip(0..).collect();
@@ -74,7 +76,8 @@
 }
 
 impl Search<'_> {
-    /// Tries all assignments of circuits to the routes from this index on. The first `done` demands have no route left.
+    /// Tries all assignments of circuits to the routes from this index on. All routes of the first `done` demands have
+    /// their circuits already.
     fn assign_from(&mut self, route: usize, done: usize) {
         if let Some(end) = self.route_ends.get(done)
             && *end == route
