--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -1,5 +1,5 @@
-//! Planner for circuits: how much of each demand to carry on the direct route and how much over which tandem, within the
-//! sizes of the circuit groups and the transit limits of the regions. A library without I/O; see
+//! Planner for circuits: how much of each demand to carry on the direct route and how much over which tandem, within
+//! the sizes of the circuit groups and the transit limits of the regions. A library without I/O; see
 //! `docs/design/0002-planner.md`.
 //!
 //! ```
