--- a/crates/planner/src/network.rs
+++ b/crates/planner/src/network.rs
@@ -7,8 +7,8 @@
 
 /// Worth and cost are integers in millionths of a unit; this is the number of millionths in one unit.
 pub const MICRO: f64 = 1e6;
-/// Highest number of circuits of a group, demand or limit. Larger values are taken for mistakes, and the sums of the
-/// objective stay far from overflow.
+/// Highest number of circuits of a group, demand or limit. Larger values are rejected as mistakes; the bound also keeps
+/// the sums of the objective far from overflow.
 const MAX_CIRCUITS: f64 = 1e6;
 /// Highest worth or cost of a circuit, in units.
 const MAX_UNITS: f64 = 1e6;
@@ -41,11 +41,11 @@
     pub from: u32,
     /// Number of the destination exchange.
     pub to: u32,
-    /// Circuits that all calls between the two would occupy.
+    /// Circuits that all calls from the origin to the destination would occupy.
     pub circuits: u32,
     /// Worth of each circuit carried, in millionths.
     pub worth: i64,
-    /// Least number of circuits that a plan must carry.
+    /// Minimum number of circuits that a plan must carry.
     pub min_circuits: u32,
 }
 
@@ -129,7 +129,7 @@
         text.map(String::as_str).ok_or_else(|| invalid_entry(self.path_of(key), "a text"))
     }
 
-    /// A whole number from 0 to `max`.
+    /// A whole number from 0 to `max`; the default, if there is one, if the key is missing.
     fn whole(&self, key: &str, max: f64, default: Option<u32>) -> Result<u32, NetworkError> {
         match self.object.get(key) {
             None if default.is_some() => Ok(default.unwrap_or_default()),
@@ -137,7 +137,7 @@
         }
     }
 
-    /// A number of units from 0 to [`MAX_UNITS`], in millionths.
+    /// A number of units from 0 to [`MAX_UNITS`], in millionths; the default, if there is one, if the key is missing.
     fn micro(&self, key: &str, default: Option<f64>) -> Result<i64, NetworkError> {
         let value = match self.object.get(key) {
             None => default,
@@ -160,8 +160,8 @@
     /// Parses a network.
     ///
     /// # Errors
-    /// If the text is not JSON, or an entry is unknown, missing, duplicate, negative, not finite, too large, or refers to an
-    /// unknown exchange or region. The error names the entry.
+    /// If the text is not JSON, or an entry is unknown, missing, duplicate, negative, not finite, too large, or refers
+    /// to an unknown exchange or region. The error names the entry.
     pub fn parse(text: &str) -> Result<Self, NetworkError> {
         let json: JsonValue = text.parse().map_err(|error| NetworkError::InvalidJson(format!("{error}")))?;
         let keys = ["regions", "exchanges", "groups", "demand", "limits", "tandem_cost"];
@@ -174,7 +174,7 @@
                 .filter(|name| !name.is_empty())
                 .ok_or_else(|| invalid_entry(&path, "a name"))?;
             if network.regions.contains(name) {
-                return Err(invalid_entry(path, format!("each region once, and '{name}' is there before")));
+                return Err(invalid_entry(path, format!("each region once, but '{name}' is listed before")));
             }
             network.regions.push(name.clone());
         }
@@ -193,14 +193,14 @@
             if !known.insert(number) {
                 return Err(invalid_entry(
                     entry.path_of("number"),
-                    format!("each exchange once, and {number} is there before"),
+                    format!("each exchange once, but {number} is listed before"),
                 ));
             }
             let region = self.region_index(entry.text("region")?, &entry.path_of("region"))?;
             self.exchanges.push(Exchange { number, region });
         }
         if self.exchanges.len() < 2 {
-            return Err(invalid_entry("exchanges", "two or more"));
+            return Err(invalid_entry("exchanges", "at least two"));
         }
         self.exchanges.sort_by_key(|exchange| exchange.number);
         Ok(())
@@ -208,7 +208,7 @@
 
     fn region_index(&self, name: &str, path: &str) -> Result<usize, NetworkError> {
         let index = self.regions.iter().position(|region| region == name);
-        index.ok_or_else(|| invalid_entry(path, format!("one of the regions, and '{name}' is none")))
+        index.ok_or_else(|| invalid_entry(path, format!("one of the regions, but '{name}' is unknown")))
     }
 
     /// Index of an exchange in [`Network::exchanges`], by its number.
@@ -221,7 +221,7 @@
             let entry = Entry::new(value, &format!("groups.{i}"), &["between", "circuits", "cost"])?;
             let path = entry.path_of("between");
             let ends = entry.list("between")?;
-            let [a, b] = ends else { return Err(invalid_entry(path, "two numbers of exchanges")) };
+            let [a, b] = ends else { return Err(invalid_entry(path, "two exchange numbers")) };
             let (a, b) = (
                 parse_whole(Some(a), &path, MAX_EXCHANGE_NUMBER)?,
                 parse_whole(Some(b), &path, MAX_EXCHANGE_NUMBER)?,
@@ -234,7 +234,10 @@
                 cost: entry.micro("cost", Some(0.0))?,
             };
             if self.groups.insert(between, group).is_some() {
-                return Err(invalid_entry(path, format!("each pair once, and {a} and {b} are there before")));
+                return Err(invalid_entry(
+                    path,
+                    format!("each pair once, but {a} and {b} are listed before"),
+                ));
             }
         }
         Ok(())
@@ -244,7 +247,7 @@
     fn check_pair(&self, a: u32, b: u32, path: &str) -> Result<(), NetworkError> {
         match [a, b].into_iter().find(|number| self.exchange_index(*number).is_none()) {
             Some(number) => {
-                Err(invalid_entry(path, format!("exchanges of the network, and {number} is none")))
+                Err(invalid_entry(path, format!("exchanges of the network, but {number} is unknown")))
             }
             None if a == b => Err(invalid_entry(path, "two different exchanges")),
             None => Ok(()),
@@ -261,13 +264,13 @@
             );
             self.check_pair(from, to, &entry.path)?;
             let circuits = entry.whole("circuits", MAX_CIRCUITS, None)?;
-            // No more can be required than is demanded.
+            // The minimum cannot exceed the demand.
             let min_circuits = entry.whole("must", f64::from(circuits), Some(0))?;
             let demand = Demand { from, to, circuits, worth: entry.micro("worth", Some(1.0))?, min_circuits };
             if self.demands.insert((from, to), demand).is_some() {
                 return Err(invalid_entry(
                     entry.path,
-                    format!("each pair once, and {from} to {to} is there before"),
+                    format!("each pair once, but {from} to {to} is listed before"),
                 ));
             }
         }
@@ -294,8 +297,8 @@
         self.groups.get(&(a.min(b), a.max(b)))
     }
 
-    /// The routes that a demand may take, in canonical order: the direct route (`None`), then by the number of the tandem.
-    /// Only routes whose groups exist.
+    /// The routes that a demand may take, in canonical order: the direct route (`None`), then by the number of the
+    /// tandem. Only routes whose groups exist.
     pub fn routes(&self, from: u32, to: u32) -> Vec<Option<u32>> {
         let direct = self.group(from, to).map(|_| None);
         let tandems = self.exchanges.iter().map(|exchange| exchange.number).filter(|via| {
--- a/crates/planner/src/plan.rs
+++ b/crates/planner/src/plan.rs
@@ -50,7 +50,7 @@
         to: u32,
     },
     /// The route does not exist.
-    #[error("flow from {from} to {to}: there is no way {}", via.map_or("by the direct route".to_owned(), |via| format!("over {via}")))]
+    #[error("flow from {from} to {to}: there is no {}", via.map_or("direct route".to_owned(), |via| format!("route over {via}")))]
     NoRoute {
         /// Number of the originating exchange.
         from: u32,
@@ -67,7 +67,7 @@
         /// Number of the destination exchange.
         to: u32,
     },
-    /// More circuits than are demanded.
+    /// More circuits are carried than demanded.
     #[error("from {from} to {to}: {carried} circuits of {demanded} demanded")]
     ExceedsDemand {
         /// Number of the originating exchange.
@@ -79,7 +79,7 @@
         /// Circuits demanded.
         demanded: u32,
     },
-    /// Fewer circuits than must be carried.
+    /// Fewer circuits are carried than the minimum of the demand.
     #[error("from {from} to {to}: {carried} circuits where {min_circuits} must be carried")]
     BelowMinimum {
         /// Number of the originating exchange.
@@ -88,7 +88,7 @@
         to: u32,
         /// Circuits carried.
         carried: u64,
-        /// Least number of circuits to be carried.
+        /// Minimum number of circuits to be carried.
         min_circuits: u32,
     },
     /// More circuits than the group has.
@@ -179,8 +179,8 @@
     if violations.is_empty() { Ok(()) } else { Err(violations) }
 }
 
-/// Uncarried worth and cost of these flows. The network need not be able to carry them; a route that does not exist costs
-/// nothing.
+/// Uncarried worth and cost of these flows. The network need not be able to carry them; a group that does not exist
+/// costs nothing.
 pub fn objective(network: &Network, flows: &[Flow]) -> Objective {
     let demanded =
         network.demands.values().map(|demand| i128::from(demand.circuits) * i128::from(demand.worth));
@@ -199,8 +199,8 @@
     objective
 }
 
-/// Compares two plans in canonical order. The flows are compared by origin, destination and route; at the first difference
-/// the plan with more circuits comes first.
+/// Compares two plans in canonical order. The routes are compared by origin, destination and tandem, the direct route
+/// first; at the first route whose circuits differ, the plan with more circuits comes first.
 pub fn compare_canonical(a: &[Flow], b: &[Flow]) -> Ordering {
     let by_route = |flows: &[Flow]| -> BTreeMap<(u32, u32, Option<u32>), u32> {
         flows.iter().map(|flow| ((flow.from, flow.to, flow.via), flow.circuits)).collect()
--- a/crates/planner/tests/plans.rs
+++ b/crates/planner/tests/plans.rs
@@ -53,30 +53,30 @@
             r#""circuits":2,"price":1"#,
             "groups.0.price: expected one of between, circuits, cost",
         ),
-        ("[0,7]", "[0,1]", "groups.1.between: expected each pair once, and 0 and 1 are there before"),
+        ("[0,7]", "[0,1]", "groups.1.between: expected each pair once, but 0 and 1 are listed before"),
         ("[0,7]", "[0,0]", "groups.1.between: expected two different exchanges"),
-        ("[0,7]", "[0,9]", "groups.1.between: expected exchanges of the network, and 9 is none"),
-        ("[0,7]", "[0]", "groups.1.between: expected two numbers of exchanges"),
+        ("[0,7]", "[0,9]", "groups.1.between: expected exchanges of the network, but 9 is unknown"),
+        ("[0,7]", "[0]", "groups.1.between: expected two exchange numbers"),
         (r#""must":1"#, r#""must":5"#, "demand.0.must: expected a whole number from 0 to 4"),
         (
             r#""from":7,"to":1"#,
             r#""from":0,"to":1"#,
-            "demand.1: expected each pair once, and 0 to 1 is there before",
+            "demand.1: expected each pair once, but 0 to 1 is listed before",
         ),
         (
             r#""number":7,"region":"wien""#,
             r#""number":1,"region":"wien""#,
-            "exchanges.2.number: expected each exchange once, and 1 is there before",
+            "exchanges.2.number: expected each exchange once, but 1 is listed before",
         ),
         (
             r#""number":7,"region":"wien""#,
             r#""number":7,"region":"graz""#,
-            "exchanges.2.region: expected one of the regions, and 'graz' is none",
+            "exchanges.2.region: expected one of the regions, but 'graz' is unknown",
         ),
         (
             r#"{"wien":1}"#,
             r#"{"rom":1}"#,
-            "limits.transit.rom: expected one of the regions, and 'rom' is none",
+            "limits.transit.rom: expected one of the regions, but 'rom' is unknown",
         ),
         (r#""tandem_cost":0.5"#, r#""tandem_cost":-0.5"#, "tandem_cost: expected a number from 0 to 1000000"),
     ] {
@@ -87,7 +87,7 @@
     assert!(Network::parse("{").is_err_and(|error| error.to_string().starts_with("not JSON: ")));
     assert_eq!(
         Network::parse("{}").expect_err("a network without exchanges").to_string(),
-        "exchanges: expected two or more"
+        "exchanges: expected at least two"
     );
     for cut in 0..TRIANGLE.len() {
         assert!(Network::parse(&TRIANGLE[..cut]).is_err(), "cut at {cut}");
@@ -134,7 +134,7 @@
         violations(&[flow(0, 1, None, 1), flow(0, 1, None, 1)])[0],
         Violation::InvalidFlow { from: 0, to: 1 }
     );
-    assert_eq!(violations(&invalid)[1].to_string(), "flow from 0 to 1: there is no way over 1");
+    assert_eq!(violations(&invalid)[1].to_string(), "flow from 0 to 1: there is no route over 1");
 }
 
 #[test]
@@ -225,8 +225,8 @@
             };
             prop_assert_eq!(check_plan(&net, &best.flows), Ok(()));
             prop_assert_eq!(objective(&net, &best.flows), best.objective);
-            // With one circuit added, removed or moved to another route, a valid plan is worse, or equal and later in canonical
-            // order.
+            // With one circuit added, removed or moved to another route, a valid plan is worse, or equal and later in
+            // canonical order.
             for (from, to) in net.demands.keys().copied() {
                 for add in net.routes(from, to).into_iter().map(Some).chain([None]) {
                     for remove in net.routes(from, to).into_iter().map(Some).chain([None]) {
