--- a/crates/planner/src/solve.rs
+++ b/crates/planner/src/solve.rs
@@ -1,9 +1,10 @@
 //! The best plan by integer programs that are solved one after the other: the first minimizes the uncarried worth, the
 //! second the cost, and the others select the first of the remaining plans in canonical order.
 //!
-//! Each program fixes the values that the earlier ones found. Worths and costs are divided by their greatest common divisor,
-//! so that the objectives of two plans are equal or differ by at least 1 and rounding errors cannot confuse them. The
-//! solution is rounded to whole circuits, checked against the network, and its objective is computed in integers.
+//! Each program keeps the values that the earlier ones found. Worths and costs are divided by their greatest common
+//! divisors, so that the objectives of two plans are equal or differ by at least 1 and rounding errors cannot change
+//! their order. The solution is rounded to whole circuits, checked against the network, and its objective is computed in
+//! integers.
 
 use std::collections::BTreeMap;
 
@@ -20,7 +21,7 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SolveError {
     /// No plan carries all the circuits that must be carried.
-    #[error("no plan carries all that must be carried")]
+    #[error("no plan carries all circuits that must be carried")]
     Infeasible,
     /// The solver failed, or its solution is not a valid plan.
     #[error("the solver failed: {0}")]
@@ -217,13 +218,15 @@
         formulation
             .upper_bounds
             .iter()
-            .filter(|(p, _)| !p.is_empty())
-            .map(|(p, n)| constraint!(sum(p) <= f64::from(*n))),
+            .filter(|(indices, _)| !indices.is_empty())
+            .map(|(indices, max)| constraint!(sum(indices) <= f64::from(*max))),
     );
-    constraints.extend(formulation.lower_bounds.iter().map(|(p, n)| constraint!(sum(p) >= f64::from(*n))));
-    // No tolerance: sums of integers are exact, and the relaxation would use any tolerance for a fraction of a circuit,
-    // which then has to be removed by branching. A tolerance of half a unit raised the time for 7 exchanges from 18 ms to
-    // over 40 s.
+    constraints.extend(
+        formulation.lower_bounds.iter().map(|(indices, min)| constraint!(sum(indices) >= f64::from(*min))),
+    );
+    // No tolerance: sums of integers are exact, and the linear relaxation would use any tolerance for a fraction of a
+    // circuit, which then has to be removed by branching. A tolerance of half a unit raised the time for 7 exchanges
+    // from 18 ms to over 40 s.
     constraints.extend(fixed.worth.map(|found| constraint!(worth >= found as f64)));
     constraints.extend(fixed.cost.map(|found| constraint!(cost <= found as f64)));
     for constraint in constraints {
