--- a/crates/planner/tests/solver.rs
+++ b/crates/planner/tests/solver.rs
@@ -10,7 +10,8 @@
 use swiftlb_planner::{Network, check_plan, exhaustive, solve};
 
 /// JSON of a network of 3 to 6 exchanges in up to 3 regions, small enough for the exhaustive search: few demands of few
-/// circuits, and many equal worths and costs, so that ties are common. Some groups have no circuits and some pairs no group.
+/// circuits, and many equal worths and costs, so that ties are common. Some groups have no circuits and some pairs no
+/// group.
 fn network_json(seed: u64) -> String {
     let mut rng = SplitMix64(seed);
     let nodes = 3 + rng.below(4);
