--- a/crates/planner/src/plan.rs
+++ b/crates/planner/src/plan.rs
@@ -60,7 +60,7 @@
         via: Option<u32>,
     },
     /// A flow without circuits, or a second flow on the same route.
-    #[error("flow from {from} to {to}: expected each route once, with one circuit or more")]
+    #[error("flow from {from} to {to}: expected each route once, with at least one circuit")]
     InvalidFlow {
         /// Number of the originating exchange.
         from: u32,
@@ -68,7 +68,7 @@
         to: u32,
     },
     /// More circuits are carried than demanded.
-    #[error("from {from} to {to}: {carried} circuits of {demanded} demanded")]
+    #[error("from {from} to {to}: {carried} circuits are carried, but only {demanded} are demanded")]
     ExceedsDemand {
         /// Number of the originating exchange.
         from: u32,
@@ -80,7 +80,7 @@
         demanded: u32,
     },
     /// Fewer circuits are carried than the minimum of the demand.
-    #[error("from {from} to {to}: {carried} circuits where {min_circuits} must be carried")]
+    #[error("from {from} to {to}: {carried} circuits are carried, but {min_circuits} must be")]
     BelowMinimum {
         /// Number of the originating exchange.
         from: u32,
@@ -92,7 +92,7 @@
         min_circuits: u32,
     },
     /// More circuits than the group has.
-    #[error("group between {} and {}: {used} circuits of {circuits}", between.0, between.1)]
+    #[error("group between {} and {}: {used} circuits are used, but it has only {circuits}", between.0, between.1)]
     GroupExceeded {
         /// The two exchanges of the group.
         between: (u32, u32),
@@ -102,7 +102,7 @@
         circuits: u32,
     },
     /// More circuits over tandems of a region than its limit.
-    #[error("transit in region {region}: {used} circuits of {max_circuits}")]
+    #[error("transit in region {region}: {used} circuits are used, but the limit is {max_circuits}")]
     TransitLimitExceeded {
         /// Name of the region.
         region: String,
