--- a/crates/emulator/src/model.rs
+++ b/crates/emulator/src/model.rs
@@ -640,12 +640,12 @@
     fn handle_exchange_connected(&mut self, softswitch: usize, exchange: usize, out: &mut Vec<Output>) {
         let (free, total) = self.groups[&group_key(softswitch, exchange)];
         self.send_to_softswitch(softswitch, exchange, 0, MessageFromExchange::GroupState(free, total), out);
-        let (ready, later) = std::mem::take(&mut self.undelivered)
+        let (deliverable, others) = std::mem::take(&mut self.undelivered)
             .into_iter()
             .partition(|(s, e, ..)| (*s, *e) == (softswitch, exchange));
-        self.undelivered = later;
-        let ready: Vec<_> = ready;
-        for (_, _, call, message) in ready {
+        self.undelivered = others;
+        let deliverable: Vec<_> = deliverable;
+        for (_, _, call, message) in deliverable {
             self.send_to_softswitch(softswitch, exchange, call, message, out);
         }
     }
@@ -748,9 +748,9 @@
     /// incident divides it.
     fn speed(&self, exchange: usize) -> f64 {
         let state = &self.exchanges[exchange];
-        let warm =
+        let warm_fraction =
             state.started_at.map_or(1.0, |at| (self.now - at).as_secs_f64() / COLD_PERIOD.as_secs_f64());
-        (COLD_INITIAL_SPEED + (1.0 - COLD_INITIAL_SPEED) * warm.min(1.0)) / state.slow_factor
+        (COLD_INITIAL_SPEED + (1.0 - COLD_INITIAL_SPEED) * warm_fraction.min(1.0)) / state.slow_factor
     }
 
     /// Time until the processor has processed all set-ups of its queue at its present speed.
