--- a/crates/emulator/src/model.rs
+++ b/crates/emulator/src/model.rs
@@ -39,7 +39,7 @@
 /// Q.850 cause: resource unavailable, unspecified.
 const CAUSE_RESOURCE_UNAVAILABLE: u8 = 47;
 /// Q.850 cause: recovery on timer expiry.
-const CAUSE_TIMER_EXPIRY: u8 = 102;
+const CAUSE_RECOVERY_ON_TIMER_EXPIRY: u8 = 102;
 
 /// Message to a softswitch from one of its callers: a subscriber, or its own exchange with a call in transit.
 #[derive(Clone, Debug, PartialEq)]
@@ -713,7 +713,7 @@
             return Some(MessageFromExchange::Ended(CAUSE_RESOURCE_UNAVAILABLE, "", Duration::ZERO));
         }
         if !self.exchanges[softswitch].running {
-            return Some(MessageFromExchange::Ended(CAUSE_TIMER_EXPIRY, "", Duration::ZERO));
+            return Some(MessageFromExchange::Ended(CAUSE_RECOVERY_ON_TIMER_EXPIRY, "", Duration::ZERO));
         }
         if self.groups[&group_key(softswitch, exchange)].0 == 0 {
             return Some(MessageFromExchange::Ended(CAUSE_NO_CIRCUIT, "group_full", Duration::ZERO));
