--- a/tests/replacement.rs
+++ b/tests/replacement.rs
@@ -12,6 +12,7 @@
 use std::os::unix::net::UnixListener;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
+use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
 use endpoints::{Iax2Endpoint, JsonLinesConn, ListeningExchange, launch_line, operator_request};
@@ -284,6 +285,28 @@
     }
 }
 
+/// First port and number of ports that [`reserved_address`] returns. They lie below the range from which Linux assigns
+/// ports to sockets that are bound to port 0 or connect.
+const FIRST_RESERVED_PORT: u16 = 20_000;
+const RESERVED_PORTS: u16 = 10_000;
+/// Addresses that one process of tests may ask for; processes with neighbouring ids get different ports.
+const PORTS_PER_PROCESS: u32 = 16;
+
+/// A loopback address for a program that binds its port later. A port that the system assigns to a test and that is
+/// released again can be assigned to another process before the program binds it.
+fn reserved_address() -> SocketAddr {
+    static ADDRESSES: AtomicU32 = AtomicU32::new(0);
+    loop {
+        let offset =
+            std::process::id().wrapping_mul(PORTS_PER_PROCESS) + ADDRESSES.fetch_add(1, Ordering::Relaxed);
+        let port = FIRST_RESERVED_PORT + (offset % u32::from(RESERVED_PORTS)) as u16;
+        let address = SocketAddr::from(([127, 0, 0, 1], port));
+        if TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok() {
+            return address;
+        }
+    }
+}
+
 /// A started program; it is killed at the end of the test.
 struct Program {
     child: Child,
@@ -293,9 +316,7 @@
 impl Program {
     /// Starts the program with the listener as its standard input, descriptor 0.
     fn start(listener: &TcpListener, directory: &Path) -> Self {
-        // A port that is free now; the system does not assign it again soon.
-        let operator_address =
-            TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("bind a loopback port");
+        let operator_address = reserved_address();
         let listener: OwnedFd = listener.try_clone().expect("duplicate the descriptor").into();
         let mut command = Command::new(env!("CARGO_BIN_EXE_swiftlb"));
         command
@@ -354,7 +375,7 @@
     let iax2 = format!(
         r#"{{"enabled":true,"listen":"{}","nodes":[],"contexts":[
         {{"context":"service","class":"lookup","numbers":[{{"prefix":"1","exchange":1}}]}}]}}"#,
-        address(UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()))
+        reserved_address()
     );
     std::fs::write(directory.0.join("iax2.json"), iax2).expect("write the file");
     (listener, directory, exchange, resolver)
